--- a/packages/pool/src/clayfield/pool/fleet.py
+++ b/packages/pool/src/clayfield/pool/fleet.py
@@ -1,8 +1,11 @@
-"""The workers that this node holds, and the runs on them.
-
-Every worker always has one hold under way, which renews its lease and waits
-for an end. What a worker lists settles what runs there; an order that got no
-answer counts as carried out until the worker tells otherwise.
+"""The workers that this node schedules, and the runs on them.
+
+The node is the holder, which schedules all workers, or the standby of a hall.
+It keeps one poll open to each worker: a request that renews the worker's
+lease, waits until a run ends, and returns the worker's running and ended runs.
+The runs that a worker lists are authoritative: a start without a reply may
+have been executed, so the run counts as started until the worker's list or
+its lease rules that out.
 """
 
 import abc
@@ -10,7 +13,7 @@
 
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
-from clayfield.pool.holds import HOLD_WAIT_MS, HoldSchedule
+from clayfield.pool.holds import POLL_WAIT_MS, HoldSchedule
 from clayfield.pool.orders import (
     EndedRow,
     EndKind,
@@ -30,64 +33,74 @@
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import WorkerInfo
 
-# Between stops that get no answer.
-RESTOP_MS = 150.0
-# A worker that could not be reached for so long is forgotten.
-FORGET_MS = 20_000.0
-# How long the runs that an earlier holder began wait for their jobs.
-ORPHAN_MS = 800.0
-PAST_END_MS = 5000.0
-PROBE_MS = 120.0
-# Added to a run's number where the worker has seen a later one.
-OLD_RUN_STEP = 1000
+# Time after which a stop without a reply is sent again.
+STOP_RETRY_MS = 150.0
+# Time after which an unreachable worker is removed.
+UNREACHABLE_TIMEOUT_MS = 20_000.0
+# Time after which an inherited run that no job has claimed is stopped.
+ORPHAN_TIMEOUT_MS = 800.0
+# How long the ends of inherited runs are recorded.
+RECORDED_END_TTL_MS = 5000.0
+PROBE_INTERVAL_MS = 120.0
+# Added to a task's run number if the worker has had a later run of it.
+RUN_NUMBER_SKIP = 1000
+# Pause of the polls of a worker that has rejected the fencing token.
 FENCED_PAUSE_MS = 500.0
+# Poll numbers that are reserved for each fencing token.
 CALLS_A_FENCE = 1_000_000
 
 
 class RunEnd(enum.Enum):
-    """How a run ended for its task: LOST says that it did not end well."""
+    """How a run ended for its task.
+
+    LOST: the run has neither succeeded nor failed, and its task must run
+    again.
+    """
 
     DONE = "done"
     FAILED = "failed"
     LOST = "lost"
 
 
-_ENDS = {EndKind.DONE: RunEnd.DONE, EndKind.FAILED: RunEnd.FAILED}
+_RUN_ENDS = {EndKind.DONE: RunEnd.DONE, EndKind.FAILED: RunEnd.FAILED}
 
 
 class FleetListener(abc.ABC):
-    """Who hears how runs end."""
+    """Receives the events of a fleet."""
 
     @abc.abstractmethod
     def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
-        """Learns that a run has ended and its room is free."""
+        """Handles the end of a run; its capacity is already released."""
 
     @abc.abstractmethod
     def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
-        """Learns of the end of a run that an earlier holder began."""
+        """Handles the end of a run that an earlier holder started."""
 
     @abc.abstractmethod
     def on_ticket_rejected(self, run: Run, worker: Worker) -> None:
-        """Learns that a worker did not take the advisor's ticket."""
+        """Handles a start that failed because of the advisor's ticket."""
 
     @abc.abstractmethod
     def on_fenced(self, worker: Worker) -> None:
-        """Learns that a worker obeys a higher fence."""
+        """Handles a worker that has accepted a higher fencing token."""
 
 
 class Fleet:
-    """All workers that this node holds.
+    """All workers that this node schedules.
 
     Attributes:
-        workers: by name.
-        actions: orders to send; the caller empties it.
-        foreign: runs that an earlier holder began, by task.
-        fence: goes with every order.
-        timing: the times that workers keep.
-        is_standby: whether another node may claim what an earlier one began.
-        confirmed_ms: until when surely no other node held the workers, and so
-            none renewed a lease. A stand-by never knows.
-        serves_kept: whether kept jobs are in use, as a stand-by was told.
+        workers: the workers by name.
+        actions: commands to send; the caller empties the list.
+        foreign: runs that an earlier holder started and that no job has
+            claimed yet, by task.
+        fence: fencing token that is sent with every command.
+        timing: lease and stop times of the workers.
+        is_standby: whether this node is a standby; the holder may then claim
+            inherited runs.
+        confirmed_ms: time until which this node was certainly the only
+            holder, so that no other node renewed a lease, in ms; 0 for a
+            standby.
+        serves_kept: whether kept jobs are in use, as reported to a standby.
     """
 
     def __init__(
@@ -108,88 +121,96 @@
         self.workers: dict[str, Worker] = {}
         self.actions: list[PoolAction] = []
         self.foreign: dict[TaskId, Run] = {}
-        self._gone: list[str] = []
-        self._past_ends: dict[TaskId, tuple[float, EndKind]] = {}
+        self._removed: list[str] = []
+        self._recorded_ends: dict[TaskId, tuple[float, EndKind]] = {}
         self._probe_at_ms: dict[str, float] = {}
-        self._holds = HoldSchedule(self.workers)
+        self._schedule = HoldSchedule(self.workers)
 
-    # Questions.
+    # Queries.
 
     def is_adopted_since(self, since_ms: float) -> bool:
-        """Tells whether every worker obeys an order sent after a time.
+        """Returns whether every worker has accepted a poll sent after a time.
 
-        What runs there is then known, and no other holder can start more.
+        The runs on all workers are then known, and no other holder can start
+        more.
         """
         return all(
-            one.is_adopted and one.obeyed_ms > since_ms
-            for one in self.workers.values()
+            worker.is_adopted and worker.obeyed_ms > since_ms
+            for worker in self.workers.values()
         )
 
     def ask_all(self) -> None:
-        """Asks every worker anew what runs there, some at a time."""
-        self._holds.asked_ms = self._clock.now_ms()
-        self._ask_some()
+        """Polls every worker again, a limited number of them at a time."""
+        self._schedule.sync_after_ms = self._clock.now_ms()
+        self._poll_unsynced()
 
-    def _ask_some(self) -> None:
-        for worker in self._holds.take_to_ask():
-            self._hold(worker, 0)
+    def _poll_unsynced(self) -> None:
+        for worker in self._schedule.take_unsynced():
+            self._send_poll(worker, 0)
 
     def take_gone(self) -> list[str]:
-        """Returns the workers whose lives were over since the last call."""
-        gone = self._gone
-        self._gone = []
-        return gone
+        """Returns the names of the workers removed since the last call."""
+        removed = self._removed
+        self._removed = []
+        return removed
 
     def past_end(self, task_id: TaskId) -> EndKind | None:
-        """Returns how a run of an earlier holder ended, None if unknown."""
-        known = self._past_ends.get(task_id)
-        return known[1] if known else None
+        """Returns how an inherited run of a task ended, None if unknown."""
+        recorded = self._recorded_ends.get(task_id)
+        return recorded[1] if recorded else None
 
-    # Workers that come and go.
+    # Addition and removal of workers.
 
     def on_worker(self, info: WorkerInfo) -> None:
-        """Takes a worker's statement."""
-        known = self.workers.get(info.name)
-        if known is None:
-            # Calls of an earlier part as holder must not be taken for this
-            # one's, so their numbers are kept apart.
-            first_call = self.fence * CALLS_A_FENCE
+        """Handles a worker's heartbeat."""
+        existing = self.workers.get(info.name)
+        if existing is None:
+            # Replies to polls that this node sent under an earlier grant must
+            # not match its present polls, so each fence has its own numbers.
+            first_poll = self.fence * CALLS_A_FENCE
             now_ms = self._clock.now_ms()
-            worker = Worker(info, now_ms, first_call)
-            # An earlier holder may have given it a lease just now.
+            worker = Worker(info, now_ms, first_poll)
+            # An earlier holder may have renewed the lease just now.
             worker.on_lease_sent(now_ms, self.timing.lease_ms)
             self.workers[info.name] = worker
-            _log_known(info)
-        elif info.sequence >= known.info.sequence:
-            if info.state is not known.info.state:
-                _log_known(info)
-            known.info = info
+            _log_worker(info)
+        elif info.sequence >= existing.info.sequence:
+            if info.state is not existing.info.state:
+                _log_worker(info)
+            existing.info = info
 
     def on_worker_left(self, name: str) -> None:
-        """Learns that a worker's life is over."""
+        """Removes a worker whose incarnation has ended; its runs are lost."""
         worker = self.workers.pop(name, None)
         if worker is None:
             return
         worker.is_gone = True
-        self._gone.append(name)
-        self._holds.on_answer(name)
+        self._removed.append(name)
+        self._schedule.on_reply(name)
         emit(Event.WORKER_GONE, worker=name, runs=len(worker.runs))
         self._probe_at_ms.pop(name, None)
         for run in list(worker.runs.values()):
-            self._end(worker, run, RunEnd.LOST)
+            self._end_run(worker, run, RunEnd.LOST)
 
-    # Orders.
+    # Commands.
 
     def start(
         self, worker: Worker, task: Task, work_ms: float, ticket: str = ""
     ) -> None:
-        """Starts a task's next run at a worker that has room."""
+        """Starts a task's next run on a worker with enough free capacity.
+
+        Args:
+            worker: the worker.
+            task: the task.
+            work_ms: expected duration on a worker of usual speed, in ms.
+            ticket: the advisor's ticket, "" if none is needed.
+        """
         now_ms = self._clock.now_ms()
         task.last_run += 1
         run = Run(
             task.id, task.last_run, worker.name, task, RunState.STARTING, now_ms
         )
-        run.expect(work_ms, worker.speed)
+        run.set_expected_time(work_ms, worker.speed)
         task.run = run
         worker.reserve(run)
         lease_ms = self.timing.lease_ms
@@ -207,13 +228,13 @@
                 ticket,
             )
         )
-        self._hear_of_end(worker, now_ms)
+        self._ensure_short_poll(worker, now_ms)
 
-    def _hear_of_end(self, worker: Worker, now_ms: float) -> None:
-        """Sees to it that a hold waits for the end of what was started."""
-        if worker.open_hold and worker.hold_wait_ms <= HOLD_WAIT_MS:
+    def _ensure_short_poll(self, worker: Worker, now_ms: float) -> None:
+        """Replaces a long poll of an idle worker, to get ends in time."""
+        if worker.open_poll and worker.poll_wait_ms <= POLL_WAIT_MS:
             return
-        worker.open_hold = 0
+        worker.open_poll = 0
         worker.next_hold_ms = now_ms
         self.renew(worker)
 
@@ -224,9 +245,9 @@
             return
         if run.state is not RunState.DOUBTFUL:
             run.state = RunState.STOPPING
-        self._order_stop(worker, run)
+        self._send_stop(worker, run)
 
-    def _order_stop(self, worker: Worker, run: Run) -> None:
+    def _send_stop(self, worker: Worker, run: Run) -> None:
         self.actions.append(
             StopRun(
                 worker.name,
@@ -237,7 +258,7 @@
             )
         )
 
-    def _hold(self, worker: Worker, wait_ms: int) -> None:
+    def _send_poll(self, worker: Worker, wait_ms: int) -> None:
         now_ms = self._clock.now_ms()
         lease_ms = self.timing.lease_ms
         until_ms: float | None = None
@@ -245,7 +266,7 @@
             until_ms = worker.lease_until(now_ms, lease_ms)
         if until_ms is not None:
             worker.on_lease_sent(now_ms, lease_ms)
-        worker.hold_call += 1
+        worker.last_poll += 1
         self.actions.append(
             HoldWorker(
                 worker.name,
@@ -254,48 +275,55 @@
                 wait_ms,
                 until_ms,
                 self.fence,
-                worker.hold_call,
+                worker.last_poll,
             )
         )
 
-    # Answers.
+    # Replies.
 
     def on_start_answer(
-        self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
+        self, name: str, task_id: TaskId, number: int, reply: OrderAnswer
     ) -> None:
-        """Takes a worker's answer to a start."""
+        """Handles a worker's reply to a start request.
+
+        Args:
+            name: name of the worker.
+            task_id: the task.
+            number: number of the run.
+            reply: the reply, or why there is none.
+        """
         worker = self.workers.get(name)
         if worker is None:
             return
-        self._note_answer(worker, answer.clock_ms)
+        self._record_reply(worker, reply.clock_ms)
         run = worker.runs.get(task_id)
         is_current = run is not None and run.number == number
         if not is_current or run.state is not RunState.STARTING:
-            self._note_result(worker, answer.result)
+            self._apply_result(worker, reply.result)
             return
-        match answer.result:
+        match reply.result:
             case OrderResult.DONE:
                 run.state = RunState.RUNNING
                 run.answered_ms = self._clock.now_ms()
                 return
             case OrderResult.LOST:
                 run.state = RunState.DOUBTFUL
-                emit(Event.RUN_DOUBTFUL, **_names(run))
-                self._order_stop(worker, run)
+                emit(Event.RUN_DOUBTFUL, **_run_fields(run))
+                self._send_stop(worker, run)
             case OrderResult.OLD_RUN:
-                run.task.last_run += OLD_RUN_STEP
-                self._end(worker, run, RunEnd.LOST)
+                run.task.last_run += RUN_NUMBER_SKIP
+                self._end_run(worker, run, RunEnd.LOST)
             case OrderResult.BAD_ORDER:
-                self._end(worker, run, RunEnd.FAILED)
+                self._end_run(worker, run, RunEnd.FAILED)
             case OrderResult.NO_TICKET:
                 self._listener.on_ticket_rejected(run, worker)
-                self._end(worker, run, RunEnd.LOST)
+                self._end_run(worker, run, RunEnd.LOST)
             case _:
-                self._end(worker, run, RunEnd.LOST)
-        self._note_result(worker, answer.result)
+                self._end_run(worker, run, RunEnd.LOST)
+        self._apply_result(worker, reply.result)
 
-    def _note_result(self, worker: Worker, result: OrderResult) -> None:
-        """Draws conclusions about the worker from how it took an order."""
+    def _apply_result(self, worker: Worker, result: OrderResult) -> None:
+        """Updates a worker's state by the result of a command."""
         match result:
             case OrderResult.FENCED:
                 self._on_fenced(worker)
@@ -307,17 +335,24 @@
                 self._on_unreachable(worker)
 
     def on_stop_answer(
-        self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
+        self, name: str, task_id: TaskId, number: int, reply: OrderAnswer
     ) -> None:
-        """Takes a worker's answer to a stop."""
+        """Handles a worker's reply to a stop request.
+
+        Args:
+            name: name of the worker.
+            task_id: the task.
+            number: number of the run.
+            reply: the reply, or why there is none.
+        """
         worker = self.workers.get(name)
         if worker is None:
             return
-        self._note_answer(worker, answer.clock_ms)
+        self._record_reply(worker, reply.clock_ms)
         run = worker.runs.get(task_id)
         if run is not None and run.number == number:
-            self._on_stop_result(worker, run, answer.result)
-        self._note_result(worker, answer.result)
+            self._on_stop_result(worker, run, reply.result)
+        self._apply_result(worker, reply.result)
 
     def _on_stop_result(
         self, worker: Worker, run: Run, result: OrderResult
@@ -330,35 +365,42 @@
             run.since_ms = now_ms
 
     def on_hold_answer(
-        self, name: str, call: int, sent_ms: float, answer: HoldAnswer
+        self, name: str, poll: int, sent_ms: float, reply: HoldAnswer
     ) -> None:
-        """Takes a worker's answer to a hold."""
+        """Handles a worker's reply to a poll.
+
+        Args:
+            name: name of the worker.
+            poll: number of the poll.
+            sent_ms: time when the poll was sent, in ms.
+            reply: the reply, or why there is none.
+        """
         worker = self.workers.get(name)
         if worker is None:
             return
         now_ms = self._clock.now_ms()
-        if call == worker.open_hold:
-            worker.open_hold = 0
-        self._holds.on_answer(name)
-        if answer.result is not OrderResult.DONE:
-            worker.next_hold_ms = now_ms + self._holds.retry_ms
-            self._on_hold_failed(worker, answer.result)
+        if poll == worker.open_poll:
+            worker.open_poll = 0
+        self._schedule.on_reply(name)
+        if reply.result is not OrderResult.DONE:
+            worker.next_hold_ms = now_ms + self._schedule.retry_ms
+            self._on_poll_failed(worker, reply.result)
             return
-        self._note_answer(worker, answer.clock_ms)
+        self._record_reply(worker, reply.clock_ms)
         self._on_reachable(worker)
-        for row in answer.ended:
+        for row in reply.ended:
             self._on_ended(worker, row)
-        self._on_running(worker, answer.running, sent_ms)
-        worker.next_hold_ms = now_ms + self._holds.pause_ms(worker)
-        self._pace(worker, now_ms)
+        self._on_running(worker, reply.running, sent_ms)
+        worker.next_hold_ms = now_ms + self._schedule.pause_ms(worker)
+        self._throttle(worker, now_ms)
         worker.is_adopted = True
         worker.obeyed_ms = max(worker.obeyed_ms, sent_ms)
         self.renew(worker)
 
-    def _pace(self, worker: Worker, now_ms: float) -> None:
-        """Paces what fills by the figures of what serves beside it."""
+    def _throttle(self, worker: Worker, now_ms: float) -> None:
+        """Adjusts the speed of batch runs to the latencies measured there."""
         for run, percent in choose_pace(worker, now_ms).items():
-            worker.paced_ms = now_ms
+            worker.throttled_ms = now_ms
             run.percent = percent
             self.actions.append(
                 PaceRun(
@@ -370,18 +412,18 @@
                     self.fence,
                 )
             )
-            emit(Event.RUN_PACED, **_names(run), percent=percent)
+            emit(Event.RUN_PACED, **_run_fields(run), percent=percent)
 
-    def _on_hold_failed(self, worker: Worker, result: OrderResult) -> None:
+    def _on_poll_failed(self, worker: Worker, result: OrderResult) -> None:
         if result is OrderResult.LOST:
             self._on_unreachable(worker)
         else:
-            self._note_result(worker, result)
+            self._apply_result(worker, result)
 
-    def _note_answer(self, worker: Worker, clock_ms: float | None) -> None:
+    def _record_reply(self, worker: Worker, clock_ms: float | None) -> None:
         now_ms = self._clock.now_ms()
         if clock_ms is not None:
-            worker.answered_ms = now_ms
+            worker.last_reply_ms = now_ms
             worker.on_clock(clock_ms, now_ms)
 
     def _on_unreachable(self, worker: Worker) -> None:
@@ -393,7 +435,7 @@
         emit(
             Event.WORKER_SILENT,
             worker=worker.name,
-            silent_ms=round(now_ms - worker.answered_ms),
+            silent_ms=round(now_ms - worker.last_reply_ms),
             runs=len(worker.runs),
         )
 
@@ -401,8 +443,8 @@
         if worker.is_reachable:
             return
         worker.is_reachable = True
-        silent_ms = self._clock.now_ms() - worker.unreachable_since_ms
-        emit(Event.WORKER_BACK, worker=worker.name, silent_ms=round(silent_ms))
+        outage_ms = self._clock.now_ms() - worker.unreachable_since_ms
+        emit(Event.WORKER_BACK, worker=worker.name, silent_ms=round(outage_ms))
 
     def _on_fenced(self, worker: Worker) -> None:
         if worker.is_adopted:
@@ -411,34 +453,39 @@
         worker.next_hold_ms = self._clock.now_ms() + FENCED_PAUSE_MS
         self._listener.on_fenced(worker)
 
-    # What a worker lists.
+    # Runs listed by workers.
 
     def _on_ended(self, worker: Worker, row: EndedRow) -> None:
-        if row.sequence <= worker.noted_upto:
+        if row.sequence <= worker.last_end_sequence:
             return
-        worker.noted_upto = row.sequence
+        worker.last_end_sequence = row.sequence
         run = worker.runs.get(row.task_id)
-        is_listed = run is not None and run.number == row.number
-        if not is_listed or run.is_foreign:
-            self._note_past_end(worker, row)
-        if is_listed:
+        is_current = run is not None and run.number == row.number
+        if not is_current or run.is_foreign:
+            self._record_inherited_end(worker, row)
+        if is_current:
             run.end_sequence = row.sequence
             run.saved = row.saved
-            self._end(worker, run, _ENDS.get(row.kind, RunEnd.LOST))
+            self._end_run(worker, run, _RUN_ENDS.get(row.kind, RunEnd.LOST))
 
-    def _note_past_end(self, worker: Worker, row: EndedRow) -> None:
+    def _record_inherited_end(self, worker: Worker, row: EndedRow) -> None:
         if row.kind not in (EndKind.DONE, EndKind.FAILED):
             return
-        self._past_ends[row.task_id] = (self._clock.now_ms(), row.kind)
+        self._recorded_ends[row.task_id] = (self._clock.now_ms(), row.kind)
         self._listener.on_foreign_end(row, worker)
 
     def on_stored(self, name: str, sequence: int) -> None:
-        """Learns that an end that a worker lists is stored."""
+        """Handles the confirmation that a run's end is in stable storage.
+
+        Args:
+            name: name of the worker that lists the end.
+            sequence: sequence number of the end on that worker.
+        """
         worker = self.workers.get(name)
         if worker is None:
             return
         worker.on_stored(sequence)
-        if not worker.has_unstored_ends and not worker.open_hold:
+        if not worker.has_unstored_ends and not worker.open_poll:
             worker.next_hold_ms = self._clock.now_ms()
             self.renew(worker)
 
@@ -447,38 +494,41 @@
     ) -> None:
         listed = {(row.task_id, row.number): row for row in rows}
         for row in rows:
-            known = worker.runs.get(row.task_id)
-            if known is None:
-                self._adopt(worker, row)
-            elif known.number == row.number:
-                known.saved = row.saved
-                known.percent = row.percent
-                known.figure = row.figure
-                self._confirm(known)
+            existing = worker.runs.get(row.task_id)
+            if existing is None:
+                self._add_inherited(worker, row)
+            elif existing.number == row.number:
+                existing.saved = row.saved
+                existing.percent = row.percent
+                existing.figure = row.figure
+                self._confirm_start(existing)
         for run in list(worker.runs.values()):
             if (run.task_id, run.number) not in listed:
-                self._on_absent(worker, run, sent_ms)
+                self._on_unlisted(worker, run, sent_ms)
 
-    def _confirm(self, run: Run) -> None:
+    def _confirm_start(self, run: Run) -> None:
         if run.state is RunState.STARTING:
             run.state = RunState.RUNNING
             run.answered_ms = self._clock.now_ms()
 
-    def _on_absent(self, worker: Worker, run: Run, sent_ms: float) -> None:
-        """Learns that a worker does not list a run, nor its end."""
+    def _on_unlisted(self, worker: Worker, run: Run, sent_ms: float) -> None:
+        """Handles a run that its worker lists neither as running nor ended."""
         match run.state:
             case RunState.RUNNING:
                 if run.answered_ms is not None and run.answered_ms < sent_ms:
-                    self._end(worker, run, RunEnd.LOST)
+                    self._end_run(worker, run, RunEnd.LOST)
             case RunState.DOUBTFUL | RunState.STOPPING:
-                settled_ms = run.stopped_ms
-                if settled_ms is None:
+                stopped_ms = run.stopped_ms
+                if stopped_ms is None:
                     return
-                if settled_ms + self.timing.stop_ms <= sent_ms:
-                    self._end(worker, run, RunEnd.LOST)
+                if stopped_ms + self.timing.stop_ms <= sent_ms:
+                    self._end_run(worker, run, RunEnd.LOST)
 
-    def _adopt(self, worker: Worker, row: RunningRow) -> None:
-        """Notes a run whose size is not known; nothing is placed beside it."""
+    def _add_inherited(self, worker: Worker, row: RunningRow) -> None:
+        """Adds a run that an earlier holder started.
+
+        Its resource usage is unknown, so nothing is placed beside it.
+        """
         run = Run(
             row.task_id,
             row.number,
@@ -495,25 +545,34 @@
         self.foreign[row.task_id] = run
         if self.is_standby:
             # The holder may start the task elsewhere once the lease that it
-            # gave has lapsed, so it must not be renewed here.
+            # gave has lapsed, so the lease must not be renewed here.
             worker.is_lease_withheld = True
             self.stop(run)
 
     def leave_to_holder(self, row: EndedRow, worker: Worker) -> None:
-        """Has a worker list an end until the holder takes note of it.
+        """Leaves the end of an inherited run to the holder.
 
-        Where kept jobs are in use, the holder may start the task elsewhere
-        meanwhile, so the lease that it gave must lapse first.
+        The end is not acknowledged, so the worker goes on listing it. Where
+        kept jobs are in use, the holder may start the task elsewhere in the
+        meantime, so the lease that it gave must lapse first.
+
+        Args:
+            row: the end.
+            worker: the worker that lists it.
         """
         worker.await_storing(row.sequence)
         if self.serves_kept:
-            worker.foreign_end_ms = self._clock.now_ms()
+            worker.deferred_end_ms = self._clock.now_ms()
 
     def claim(self, task: Task, work_ms: float) -> bool:
-        """Gives a run that an earlier holder began to its task.
+        """Assigns an inherited run to its task.
+
+        Args:
+            task: the task.
+            work_ms: expected duration on a worker of usual speed, in ms.
 
         Returns:
-            Whether there is one.
+            Whether there is such a run.
         """
         run = self.foreign.pop(task.id, None)
         if run is None:
@@ -521,7 +580,7 @@
         worker = self.workers[run.worker]
         worker.release(run)
         run.task = task
-        run.expect(work_ms, worker.speed)
+        run.set_expected_time(work_ms, worker.speed)
         run.cpu = task.step.room_cpu
         run.memory_mb = task.step.memory_mb
         run.gpu = task.step.gpu
@@ -530,11 +589,11 @@
         task.last_run = max(task.last_run, run.number)
         return True
 
-    def _end(self, worker: Worker, run: Run, end: RunEnd) -> None:
+    def _end_run(self, worker: Worker, run: Run, end: RunEnd) -> None:
         if end is not RunEnd.DONE:
             emit(
                 Event.RUN_LOST,
-                **_names(run),
+                **_run_fields(run),
                 state=run.state.value,
                 end=end.value,
                 ran_ms=round(self._clock.now_ms() - run.since_ms),
@@ -543,83 +602,88 @@
         self.foreign.pop(run.task_id, None)
         self._listener.on_run_end(run, end, worker)
 
-    # Time.
+    # Periodic work.
 
     def tick(self) -> None:
-        """Lets time act: holds, stops again, lets leases lapse."""
+        """Runs the periodic work: polls, stop retries, expiry of leases."""
         now_ms = self._clock.now_ms()
-        for worker in self._holds.due_workers():
+        for worker in self._schedule.due_workers():
             self._tick_worker(worker, now_ms)
-        self._ask_some()
+        self._poll_unsynced()
         self._stop_orphans(now_ms)
-        for task_id, (noted_ms, _) in list(self._past_ends.items()):
-            if now_ms - noted_ms > PAST_END_MS:
-                del self._past_ends[task_id]
+        for task_id, (recorded_ms, _) in list(self._recorded_ends.items()):
+            if now_ms - recorded_ms > RECORDED_END_TTL_MS:
+                del self._recorded_ends[task_id]
 
     def _tick_worker(self, worker: Worker, now_ms: float) -> None:
         if not worker.is_reachable:
-            silent_ms = now_ms - worker.unreachable_since_ms
-            if silent_ms > FORGET_MS:
+            outage_ms = now_ms - worker.unreachable_since_ms
+            if outage_ms > UNREACHABLE_TIMEOUT_MS:
                 self.on_worker_left(worker.name)
                 return
             if worker.lease_ends_ms < min(now_ms, self.confirmed_ms):
-                self._let_lapse(worker)
+                self._end_lapsed_runs(worker)
         if self.is_standby and worker.is_known:
-            worker.withhold_lease(worker.foreign_end_ms, now_ms)
-        self._stop_again(worker, now_ms)
+            worker.withhold_lease(worker.deferred_end_ms, now_ms)
+        self._retry_stops(worker, now_ms)
         if self._is_probe_due(worker, now_ms):
-            self._probe_at_ms[worker.name] = now_ms + PROBE_MS
-            self._hold(worker, 0)
+            self._probe_at_ms[worker.name] = now_ms + PROBE_INTERVAL_MS
+            self._send_poll(worker, 0)
         self.renew(worker)
 
     def renew(self, worker: Worker) -> None:
-        """Holds a worker again, if no hold is under way."""
+        """Polls a worker if its next poll is due and none is open."""
         now_ms = self._clock.now_ms()
-        if worker.open_hold or now_ms < worker.next_hold_ms:
+        if worker.open_poll or now_ms < worker.next_hold_ms:
             return
-        if not worker.is_adopted and not self._holds.may_ask(worker):
+        if not worker.is_adopted and not self._schedule.try_start_sync(worker):
             return
-        worker.hold_wait_ms = self._holds.wait_ms(worker)
-        self._hold(worker, worker.hold_wait_ms)
-        worker.open_hold = worker.hold_call
+        worker.poll_wait_ms = self._schedule.wait_ms(worker)
+        self._send_poll(worker, worker.poll_wait_ms)
+        worker.open_poll = worker.last_poll
 
     def _is_probe_due(self, worker: Worker, now_ms: float) -> bool:
-        wanted_ms = self._probe_at_ms.get(worker.name)
+        """Returns whether to poll a worker without waiting for a run to end.
+
+        This is due once a stop should have taken effect, and while a run is
+        overdue.
+        """
+        due_ms = self._probe_at_ms.get(worker.name)
         if any(
             run.state is RunState.DOUBTFUL or run.state is RunState.STOPPING
             for run in worker.runs.values()
         ):
-            return wanted_ms is not None and now_ms >= wanted_ms
-        if wanted_ms is not None and now_ms < wanted_ms:
+            return due_ms is not None and now_ms >= due_ms
+        if due_ms is not None and now_ms < due_ms:
             return False
         return worker.is_reachable and any(
             run.is_overdue(now_ms) for run in worker.runs.values()
         )
 
-    def _let_lapse(self, worker: Worker) -> None:
-        """Ends what a silent worker cannot be running any more."""
+    def _end_lapsed_runs(self, worker: Worker) -> None:
+        """Ends the confirmed runs of a worker whose lease has lapsed."""
         for run in list(worker.runs.values()):
             if run.state is RunState.RUNNING or run.answered_ms is not None:
-                self._end(worker, run, RunEnd.LOST)
+                self._end_run(worker, run, RunEnd.LOST)
 
-    def _stop_again(self, worker: Worker, now_ms: float) -> None:
+    def _retry_stops(self, worker: Worker, now_ms: float) -> None:
         for run in worker.runs.values():
-            is_open = run.state in (RunState.DOUBTFUL, RunState.STOPPING)
-            if not is_open or run.stopped_ms is not None:
+            is_stopping = run.state in (RunState.DOUBTFUL, RunState.STOPPING)
+            if not is_stopping or run.stopped_ms is not None:
                 continue
-            if now_ms - run.since_ms > RESTOP_MS:
+            if now_ms - run.since_ms > STOP_RETRY_MS:
                 run.since_ms = now_ms
-                self._order_stop(worker, run)
+                self._send_stop(worker, run)
 
     def _stop_orphans(self, now_ms: float) -> None:
         for run in list(self.foreign.values()):
-            is_waiting = run.state is RunState.RUNNING
-            if is_waiting and now_ms - run.since_ms > ORPHAN_MS:
+            is_running = run.state is RunState.RUNNING
+            if is_running and now_ms - run.since_ms > ORPHAN_TIMEOUT_MS:
                 self.stop(run)
 
 
-def _names(run: Run) -> dict[str, object]:
-    """Returns the fields that name a run in the log."""
+def _run_fields(run: Run) -> dict[str, object]:
+    """Returns the log fields that identify a run."""
     return {
         "job": run.task_id.job,
         "step": run.task_id.step,
@@ -629,7 +693,8 @@
     }
 
 
-def _log_known(info: WorkerInfo) -> None:
+def _log_worker(info: WorkerInfo) -> None:
+    """Logs a new worker or a worker's new state."""
     emit(
         Event.WORKER_KNOWN,
         worker=info.name,
--- a/packages/pool/src/clayfield/pool/holds.py
+++ b/packages/pool/src/clayfield/pool/holds.py
@@ -1,116 +1,127 @@
-"""When each worker is held, and how long its hold waits for an end.
+"""When each worker is polled, and how long the worker may delay its reply.
 
-A worker on which something runs always has a hold under way, which renews its
-lease and waits for an end. One on which nothing runs is held just to hear
-whether it is there; where there are many of those, seldom.
+A worker that has runs always has one poll open, which renews its lease and
+returns when a run ends. An idle worker is polled just to check that it is
+reachable; the more workers there are, the less often.
 """
 
 from clayfield.pool.worker import Worker
 
-HOLD_WAIT_MS = 400
-# The longest that a worker lets a hold wait.
-LONGEST_WAIT_MS = 2000
-# Holds of workers on which nothing runs, over all of them.
-IDLE_HOLDS_A_S = 80.0
-# Holds under way to workers of which it is not known what runs there.
-ASKING_AT_ONCE = 64
-# Workers on which nothing runs that are looked at in one tick.
-IDLE_A_TICK = 64
-# Between holds that get no answer: at least, and as a share of the time
-# between the holds of an idle worker.
-RETRY_MS = 60.0
+# How long a worker with runs may delay its reply to a poll.
+POLL_WAIT_MS = 400
+# Longest delay that a worker supports.
+MAX_POLL_WAIT_MS = 2000
+# Rate of the polls of idle workers, over all of them.
+IDLE_POLLS_PER_S = 80.0
+# Limit of concurrent polls of workers whose runs are not known.
+MAX_SYNCS = 64
+# Number of idle workers that are checked in one tick.
+IDLE_WORKERS_PER_TICK = 64
+# Pause after a failed poll: the larger of a time and a share of the interval
+# between the polls of an idle worker.
+MIN_RETRY_MS = 60.0
 RETRY_SHARE = 0.2
-# Between holds while a worker lists ends that are not stored yet.
+# Pause between polls while a worker lists ends that are not stored yet.
 UNSTORED_PAUSE_MS = 10.0
 MS_PER_S = 1000.0
 
 
 class HoldSchedule:
-    """The order in which a holder holds its workers.
+    """Decides when the holder polls its workers.
 
     Attributes:
-        asked_ms: since when all workers are to be asked anew.
+        sync_after_ms: time after which every worker is to accept a poll, in
+            ms; -1 before the first request for that.
     """
 
-    __slots__ = ("_asking", "_ticks", "_workers", "asked_ms")
+    __slots__ = ("_syncing", "_ticks", "_workers", "sync_after_ms")
 
     def __init__(self, workers: dict[str, Worker]):
-        """Starts.
+        """Creates a schedule.
 
         Args:
-            workers: by name; the fleet adds and drops them.
+            workers: the workers by name; the fleet adds and removes them.
         """
-        self.asked_ms = -1.0
+        self.sync_after_ms = -1.0
         self._workers = workers
-        self._asking: set[str] = set()
+        self._syncing: set[str] = set()
         self._ticks = 0
 
-    # Times.
+    # Intervals.
 
     @property
     def _idle_interval_ms(self) -> float:
-        """Between the holds of a worker on which nothing runs."""
-        return len(self._workers) / IDLE_HOLDS_A_S * MS_PER_S
+        """Interval between the polls of an idle worker."""
+        return len(self._workers) / IDLE_POLLS_PER_S * MS_PER_S
 
     @property
     def retry_ms(self) -> float:
-        """Between holds of a worker that does not answer."""
-        return max(RETRY_MS, self._idle_interval_ms * RETRY_SHARE)
+        """Pause after a failed poll of a worker, in ms."""
+        return max(MIN_RETRY_MS, self._idle_interval_ms * RETRY_SHARE)
 
     def wait_ms(self, worker: Worker) -> int:
-        """Returns how long the next hold of a worker may wait."""
+        """Returns how long a worker may delay its next reply, in ms."""
         if not worker.is_reachable or not worker.is_adopted:
             return 0
         if worker.runs or worker.has_unstored_ends:
-            return HOLD_WAIT_MS
-        idle_ms = max(HOLD_WAIT_MS, self._idle_interval_ms)
-        return int(min(LONGEST_WAIT_MS, idle_ms))
+            return POLL_WAIT_MS
+        idle_ms = max(POLL_WAIT_MS, self._idle_interval_ms)
+        return int(min(MAX_POLL_WAIT_MS, idle_ms))
 
     def pause_ms(self, worker: Worker) -> float:
-        """Returns how long to wait before a worker is held again."""
+        """Returns the time from a reply to the next poll, in ms."""
         if worker.has_unstored_ends:
             return UNSTORED_PAUSE_MS
         if worker.runs:
             return 0.0
-        return max(0.0, self._idle_interval_ms - LONGEST_WAIT_MS)
+        return max(0.0, self._idle_interval_ms - MAX_POLL_WAIT_MS)
 
-    # Turns.
+    # Selection of workers.
 
     def due_workers(self) -> list[Worker]:
-        """Returns the workers to be looked at in this tick.
+        """Returns the workers to check in this tick.
 
-        Those on which nothing runs come by turns where there are many.
+        These are all workers with runs and, of the idle ones, a different
+        part in each tick if there are many.
         """
         self._ticks += 1
-        stride = 1 + len(self._workers) // IDLE_A_TICK
+        stride = 1 + len(self._workers) // IDLE_WORKERS_PER_TICK
         return [
             worker
             for number, worker in enumerate(self._workers.values())
             if worker.runs or (number + self._ticks) % stride == 0
         ]
 
-    def may_ask(self, worker: Worker) -> bool:
-        """Tells whether a worker may be asked now what runs there.
+    def try_start_sync(self, worker: Worker) -> bool:
+        """Reserves one of the concurrent polls that determine a worker's runs.
 
-        If so, it counts as asked until it has answered.
+        The reservation ends with `on_reply`.
+
+        Returns:
+            Whether there was a free one.
         """
-        if len(self._asking) >= ASKING_AT_ONCE:
+        if len(self._syncing) >= MAX_SYNCS:
             return False
-        self._asking.add(worker.name)
+        self._syncing.add(worker.name)
         return True
 
-    def take_to_ask(self) -> list[Worker]:
-        """Returns workers to be asked now that are to be asked anew."""
+    def take_unsynced(self) -> list[Worker]:
+        """Reserves polls for workers that have accepted none lately.
+
+        Returns:
+            Workers to poll now whose latest accepted poll was sent no later
+            than `sync_after_ms`.
+        """
         return [
             worker
             for worker in self._workers.values()
-            if worker.obeyed_ms <= self.asked_ms
+            if worker.obeyed_ms <= self.sync_after_ms
             and worker.is_adopted
             and worker.is_reachable
-            and worker.name not in self._asking
-            and self.may_ask(worker)
+            and worker.name not in self._syncing
+            and self.try_start_sync(worker)
         ]
 
-    def on_answer(self, name: str) -> None:
-        """Learns that a worker has answered a hold, or is gone."""
-        self._asking.discard(name)
+    def on_reply(self, name: str) -> None:
+        """Handles the reply to a poll, or the removal of the worker."""
+        self._syncing.discard(name)
--- a/packages/pool/src/clayfield/pool/pacing.py
+++ b/packages/pool/src/clayfield/pool/pacing.py
@@ -1,60 +1,69 @@
-"""How fast tasks that fill may work beside tasks that serve.
+"""Throttles batch tasks that run beside latency-sensitive tasks.
 
-What fills disturbs what serves by amounts that nobody tells and that change
-within seconds, so the pace is found by trial: it is halved as soon as a task
-that serves is over its target, and given back in steps while all are well
-below theirs. Each time that a step up was too much the next one waits twice
-as long.
+Batch tasks reserve no capacity and use what the others leave. How much they
+disturb latency-sensitive tasks is unknown and changes within seconds, so their
+speed is controlled by feedback: it is halved once a latency-sensitive task
+exceeds its latency target, and raised in steps while all of these are well
+below their targets. The interval between raises doubles whenever a target is
+exceeded.
 """
 
 from clayfield.pool.tasks import Run
 from clayfield.pool.worker import Worker
 
-# A figure is of the last half second, so a change shows only after that.
+# Least time between changes: workers report latencies of the last half
+# second, so the effect of a change shows only after that.
 SETTLE_MS = 600.0
-# Between steps up: at first, and where they were too much again and again.
-FIRST_RAISE_MS = 600.0
-LONGEST_RAISE_MS = 9600.0
-# A tail below this share of its target leaves room for more.
-CALM_SHARE = 0.8
-STEP_UP = 10
-LEAST_PERCENT = 20
-FULL_PERCENT = 100
+# Bounds of the interval between raises.
+MIN_RAISE_INTERVAL_MS = 600.0
+MAX_RAISE_INTERVAL_MS = 9600.0
+# Share of the latency target below which the speed may be raised.
+RAISE_BELOW_SHARE = 0.8
+# Speeds of batch tasks, in percent of their full speed. A speed of at most
+# `MIN_PERCENT` is reduced to 0.
+RAISE_PERCENT = 10
+MIN_PERCENT = 20
+MAX_PERCENT = 100
 
 
 def choose_pace(worker: Worker, now_ms: float) -> dict[Run, int]:
-    """Returns the runs on a worker whose pace is to change, with the new one.
+    """Returns the batch runs on a worker whose speed is to change.
+
+    Adapts the worker's interval between raises.
 
     Args:
-        worker: whose figures were just told.
-        now_ms: the time.
+        worker: a worker that has just reported its latencies.
+        now_ms: the current time.
+
+    Returns:
+        The new speed of each of these runs, in percent of full speed.
     """
-    filling = [run for run in worker.runs.values() if _fills(run)]
-    if not filling or now_ms - worker.paced_ms < SETTLE_MS:
+    batch_runs = [run for run in worker.runs.values() if _is_batch(run)]
+    if not batch_runs or now_ms - worker.throttled_ms < SETTLE_MS:
         return {}
-    strain = _strain(worker)
-    if strain > 1.0:
-        doubled_ms = worker.raise_pause_ms * 2
-        worker.raise_pause_ms = min(LONGEST_RAISE_MS, doubled_ms)
-        return {run: _less(run.percent) for run in filling if run.percent}
-    is_time = now_ms - worker.paced_ms >= worker.raise_pause_ms
-    if strain >= CALM_SHARE or not is_time:
+    latency_share = _latency_share(worker)
+    if latency_share > 1.0:
+        doubled_ms = worker.raise_interval_ms * 2
+        worker.raise_interval_ms = min(MAX_RAISE_INTERVAL_MS, doubled_ms)
+        return {run: _reduce(run.percent) for run in batch_runs if run.percent}
+    is_due = now_ms - worker.throttled_ms >= worker.raise_interval_ms
+    if latency_share >= RAISE_BELOW_SHARE or not is_due:
         return {}
-    halved_ms = worker.raise_pause_ms / 2
-    worker.raise_pause_ms = max(FIRST_RAISE_MS, halved_ms)
+    halved_ms = worker.raise_interval_ms / 2
+    worker.raise_interval_ms = max(MIN_RAISE_INTERVAL_MS, halved_ms)
     return {
-        run: min(FULL_PERCENT, run.percent + STEP_UP)
-        for run in filling
-        if run.percent < FULL_PERCENT
+        run: min(MAX_PERCENT, run.percent + RAISE_PERCENT)
+        for run in batch_runs
+        if run.percent < MAX_PERCENT
     }
 
 
-def _fills(run: Run) -> bool:
+def _is_batch(run: Run) -> bool:
     return run.task is not None and run.task.step.fills
 
 
-def _strain(worker: Worker) -> float:
-    """Returns the highest tail of what serves, as a share of its target."""
+def _latency_share(worker: Worker) -> float:
+    """Returns the highest tail latency, as a share of its target."""
     shares = [
         run.figure / run.task.step.target_ms
         for run in worker.runs.values()
@@ -63,5 +72,5 @@
     return max(shares, default=0.0)
 
 
-def _less(percent: int) -> int:
-    return percent // 2 if percent > LEAST_PERCENT else 0
+def _reduce(percent: int) -> int:
+    return percent // 2 if percent > MIN_PERCENT else 0
--- a/packages/pool/src/clayfield/pool/tasks.py
+++ b/packages/pool/src/clayfield/pool/tasks.py
@@ -1,4 +1,10 @@
-"""Jobs in flight at the holder, their tasks and the runs of these."""
+"""Open jobs at the holder, their tasks, and the runs of these.
+
+A job consists of steps, and a step of tasks. A job with a schedule runs its
+steps once in each iteration. A run is one attempt to execute a task on a
+worker. The tasks of a gang, which is a step of tasks that work jointly, start
+together under one run number.
+"""
 
 import enum
 import math
@@ -7,26 +13,28 @@
 
 from clayfield.wire.jobs import Job, JobState, Step
 
-# How much longer than expected a run may take before it is asked after.
-OVERDUE_SHARE = 1.4
-OVERDUE_MS = 40.0
-# How much longer than another task of its step before its worker is at fault,
-# and than expected where none of them has ended yet.
-STUCK_SHARE = 2.2
-STUCK_ALONE_SHARE = 5.0
-STUCK_MS = 60.0
-# Speeds below are not counted on: a worker that stands still must be noticed.
-SLOWEST_EXPECTED = 0.5
+# A run is overdue, so its worker is polled at once, after the expected time
+# multiplied by this factor, plus the margin in ms.
+OVERDUE_FACTOR = 1.4
+OVERDUE_MARGIN_MS = 40.0
+# A run counts as hung after the longest time of its step's other runs, or the
+# expected time if none has ended, multiplied by a factor, plus the margin.
+HUNG_FACTOR = 2.2
+HUNG_FACTOR_ALONE = 5.0
+HUNG_MARGIN_MS = 60.0
+# Lower speeds are not taken into account for the expected time, so that a hung
+# worker is detected.
+MIN_EXPECTED_SPEED = 0.5
 
 
 class TaskId(msgspec.Struct, frozen=True, array_like=True):
-    """Names a task.
+    """Identifies a task.
 
     Attributes:
-        job: the key of its job.
-        step: the number of its step.
-        index: its own within the step.
-        time: of the job's schedule, 0 where there is none.
+        job: key of the job.
+        step: number of the step within the job.
+        index: number of the task within the step.
+        time: number of the schedule's iteration, 0 without a schedule.
     """
 
     job: str
@@ -36,11 +44,11 @@
 
 
 class RunState(enum.Enum):
-    """What the holder knows of one start of a task.
+    """The state of a run, as known to the holder.
 
-    STARTING: the order is under way. RUNNING: the worker has said so.
-    DOUBTFUL: the order got no answer and may yet be carried out. STOPPING: it
-    was told to stop.
+    STARTING: the start was sent and not yet confirmed. RUNNING: the worker
+    has confirmed the start. DOUBTFUL: the start got no reply and may have been
+    executed; the run is being stopped. STOPPING: a stop was sent.
     """
 
     STARTING = "starting"
@@ -50,7 +58,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task stands."""
+    """The state of a task; PLACED: a run of it is on a worker."""
 
     WAITING = "waiting"
     PLACED = "placed"
@@ -61,19 +69,20 @@
     """One task of a job.
 
     Attributes:
-        id: its name.
-        job: what it belongs to.
-        step: what it asks for.
-        state: where it stands.
-        failures: runs that ended by its own or the worker's fault; those of
-            a gang are counted at its first task.
-        last_failed_run: the number of the latest run that failed.
-        last_run: the number of its latest run.
-        run: the run that it is placed in, None otherwise.
-        avoided: workers on which a run of it has failed or was stuck.
-        was_moved: whether a stuck run of it was stopped once already.
-        checkpoint: of the progress that its next run goes on from, "" for
-            none.
+        id: the identity of the task.
+        job: the job.
+        step: the step, with the resources that the task needs.
+        state: the state of the task.
+        failures: number of failed runs; those of a gang are counted at its
+            first task.
+        last_failed_run: number of the latest failed run.
+        last_run: number of the latest run.
+        run: the present run, None if there is none.
+        avoided: names of the workers on which a run of the task failed or
+            hung.
+        was_moved: whether a hung run of the task was stopped already.
+        checkpoint: the checkpoint from which the next run resumes, "" if
+            there is none.
     """
 
     __slots__ = (
@@ -104,33 +113,38 @@
         self.checkpoint = ""
 
     def keep_progress(self, run: "Run") -> None:
-        """Has the next run go on from where one has ended."""
+        """Takes over an ended run's checkpoint for the next run."""
         if self.step.is_checkpointing and run.saved:
             self.checkpoint = run.saved
 
 
 class Run:
-    """One start of a task at a worker.
+    """One attempt to execute a task on a worker.
+
+    Times are in ms on the holder's clock.
 
     Attributes:
-        task_id: the task.
-        number: rises with each start of the task.
-        worker: the name of the worker.
-        task: None for a run that an earlier holder began.
-        state: what is known of it.
-        cpu: reserved for it, in thousandths of a core.
-        memory_mb: reserved for it.
-        gpu: reserved for it.
-        since_ms: when it was ordered.
-        answered_ms: when its start was confirmed.
-        work_ms: how long it should take on a worker of usual speed.
-        expected_ms: how long it should take on its worker.
-        stopped_ms: when the worker confirmed its stop, None before.
-        saved: the checkpoint of its progress that the worker told last.
-        percent: the share of its full pace at which it may work.
-        figure: what the worker last told of its load: the tail of the times
-            of its answers in ms, where it serves; None while not told.
-        end_sequence: by which the worker numbers its end, 0 before.
+        task_id: the identity of the task.
+        number: run number; it rises with each start of the task.
+        worker: name of the worker.
+        task: the task; None for an inherited run, which an earlier holder
+            started, until its job is known.
+        state: the state of the run.
+        cpu: reserved CPU, in thousandths of a core.
+        memory_mb: reserved memory.
+        gpu: reserved number of accelerators.
+        since_ms: time of the latest start or stop command.
+        answered_ms: time when the start was confirmed, None before.
+        work_ms: expected duration on a worker of usual speed, in ms.
+        expected_ms: expected duration on its worker, in ms.
+        stopped_ms: time when the worker confirmed the stop, None before.
+        saved: the latest checkpoint that the worker has reported, "" for
+            none.
+        percent: share of full speed at which the run may work, in percent.
+        figure: tail latency that the worker last reported for a
+            latency-sensitive run, in ms; None if it has reported none.
+        end_sequence: sequence number of the run's end on its worker, 0
+            before.
     """
 
     __slots__ = (
@@ -180,69 +194,79 @@
         self.memory_mb = task.step.memory_mb if task else 0
         self.gpu = task.step.gpu if task else 0
 
-    def expect(self, work_ms: float, speed: float) -> None:
-        """Sets how long it should take on a worker of a speed."""
+    def set_expected_time(self, work_ms: float, speed: float) -> None:
+        """Sets the expected duration.
+
+        Args:
+            work_ms: duration on a worker of usual speed, in ms.
+            speed: speed of the run's worker, 1 for the usual speed.
+        """
         self.work_ms = work_ms
-        self.expected_ms = work_ms / max(speed, SLOWEST_EXPECTED)
+        self.expected_ms = work_ms / max(speed, MIN_EXPECTED_SPEED)
 
     def is_overdue(self, now_ms: float) -> bool:
-        """Tells whether it takes longer than it should."""
+        """Returns whether the run takes longer than expected."""
         return self._exceeds(
-            self.expected_ms, OVERDUE_SHARE, OVERDUE_MS, now_ms
+            self.expected_ms, OVERDUE_FACTOR, OVERDUE_MARGIN_MS, now_ms
         )
 
     def is_stuck(self, now_ms: float) -> bool:
-        """Tells whether it takes so long that its worker must be at fault.
+        """Returns whether the run takes so long that it counts as hung.
 
-        What other tasks of its step took tells more than the caller's
-        estimate, which may be wrong for the whole job.
+        The limit depends on the other runs of the step where there are any,
+        since the caller's estimate may be wrong for the whole job.
         """
         if self.task is None:
             return False
         sibling_ms = self.task.job.longest_runs_ms[self.task_id.step]
         if sibling_ms:
-            return self._exceeds(sibling_ms, STUCK_SHARE, STUCK_MS, now_ms)
+            return self._exceeds(
+                sibling_ms, HUNG_FACTOR, HUNG_MARGIN_MS, now_ms
+            )
         return self._exceeds(
-            self.expected_ms, STUCK_ALONE_SHARE, STUCK_MS, now_ms
+            self.expected_ms, HUNG_FACTOR_ALONE, HUNG_MARGIN_MS, now_ms
         )
 
     def _exceeds(
-        self, usual_ms: float, share: float, slack_ms: float, now_ms: float
+        self, usual_ms: float, factor: float, margin_ms: float, now_ms: float
     ) -> bool:
+        """Returns whether the run is confirmed and past a time limit."""
         if self.answered_ms is None or usual_ms <= 0:
             return False
-        return now_ms - self.answered_ms > usual_ms * share + slack_ms
+        return now_ms - self.answered_ms > usual_ms * factor + margin_ms
 
     @property
     def is_foreign(self) -> bool:
-        """Whether an earlier holder began it and its job is not known."""
+        """Whether the run was started by an earlier holder and is unclaimed."""
         return self.task is None
 
 
 class OpenJob:
     """A job that has not ended.
 
+    Times are in ms on the holder's clock unless noted.
+
     Attributes:
-        job: what was asked for.
-        entries: the entries that wait for its end.
-        arrived_ms: when it arrived at its first entry.
-        first_run: the number of each task's first run.
-        released: how many of its times have come due.
-        tasks: its tasks by stage: by step, and that for each time.
-        late_at_ms: when too little time is left to end it in time.
-        is_late: whether that time has come; it then goes after all others.
-        is_offered: whether any task of it was given to a worker.
-        is_placeable: whether its tasks may be started yet.
-        is_stored: whether it is kept and on stable storage.
+        job: the job as submitted.
+        entries: the entry nodes that wait for its end.
+        arrived_ms: time when it arrived at its first entry node.
+        first_run: number of the first run of each task.
+        released: number of iterations that have come due.
+        tasks: tasks by stage; a stage is one step in one iteration.
+        late_at_ms: time after which the job cannot end in time any more.
+        is_late: whether that time has come; late jobs go after all others.
+        is_offered: whether any task of the job was sent to a worker.
+        is_placeable: whether tasks of the job may be started yet.
+        is_stored: whether the job is a kept job in stable storage.
         outcome: how a kept job will have ended once that is stored, None
-            while it goes on.
-        unstored_ends: how many ends of its runs are not stored yet.
-        is_ended: whether it has been answered.
-        forecast_ms: its end from its arrival, as last forecast.
-        longest_runs_ms: by step, the longest of its runs that ended well, at
-            a worker of usual speed.
-        starts: how many runs of it were ordered.
-        placed_on: the workers that they were ordered from.
+            while it is unfinished.
+        unstored_ends: number of ends of its runs that are not stored yet.
+        is_ended: whether the job has ended and its callers got a reply.
+        forecast_ms: latest forecast of the time from arrival to end, in ms.
+        longest_runs_ms: longest successful run of each step, converted to a
+            worker of usual speed, in ms; 0 if there is none.
+        starts: number of starts that were sent.
+        placed_on: names of the workers that the starts were sent to.
     """
 
     __slots__ = (
@@ -267,6 +291,14 @@
     )
 
     def __init__(self, job: Job, entry: str, arrived_ms: float, first_run: int):
+        """Opens a job of which nothing was started.
+
+        Args:
+            job: the job.
+            entry: the entry node that submitted it.
+            arrived_ms: time when it arrived at its first entry node.
+            first_run: number of the first run of each task.
+        """
         self.job = job
         self.entries = {entry}
         self.arrived_ms = arrived_ms
@@ -286,123 +318,147 @@
         self.released = 0 if job.schedule else 1
         self.tasks = [
             [
-                Task(self, TaskId(job.key, number, index, time), step)
+                Task(self, TaskId(job.key, number, index, iteration), step)
                 for index in range(step.count)
             ]
-            for time in range(job.times)
+            for iteration in range(job.times)
             for number, step in enumerate(job.steps)
         ]
 
     @property
     def is_lasting(self) -> bool:
-        """Whether it has tasks that run until it is cancelled."""
+        """Whether the job has tasks that run until it is cancelled."""
         return any(step.is_lasting for step in self.job.steps)
 
     @property
     def turn(self) -> tuple[int, float]:
-        """Its place among the jobs that are not late; the least goes first."""
+        """Sort key among the jobs that are not late; lower goes first."""
         return self.job.priority, self.arrived_ms
 
     @property
     def timeout_at_ms(self) -> float:
-        """When its caller stops waiting."""
+        """Time when the caller stops waiting."""
         return self.arrived_ms + self.job.timeout_ms
 
     def note_run(self, step: int, took_ms: float) -> None:
-        """Notes how long a run took at a worker of usual speed."""
+        """Records the duration of a successful run.
+
+        Args:
+            step: number of the step.
+            took_ms: duration, converted to a worker of usual speed, in ms.
+        """
         longest = self.longest_runs_ms
         longest[step] = max(longest[step], took_ms)
 
     def release(self, wall_ms: float) -> bool:
-        """Lets the times begin that are due; returns whether any is new."""
+        """Releases the iterations that are due; returns whether any was.
+
+        Args:
+            wall_ms: the time of day, in ms since 1970.
+        """
         schedule = self.job.schedule
-        before = self.released
+        previous = self.released
         while self.released < self.job.times:
             if wall_ms < schedule.due_ms(self.released):
                 break
             self.released += 1
-        return self.released > before
+        return self.released > previous
 
     # Tasks.
 
     def tasks_of(self, task_id: TaskId) -> list[Task]:
-        """Returns the tasks of a task's step and time."""
+        """Returns all tasks of a task's step and iteration."""
         return self.tasks[self.job.stage_of(task_id.step, task_id.time)]
 
     def task_of(self, task_id: TaskId) -> Task:
-        """Returns the task of a name."""
+        """Returns the task with an identity."""
         return self.tasks_of(task_id)[task_id.index]
 
     def all_tasks(self) -> list[Task]:
-        """Returns its tasks."""
+        """Returns all tasks of the job."""
         return [task for tasks in self.tasks for task in tasks]
 
     def is_stage_done(self, stage: int) -> bool:
-        """Tells whether all tasks of a step have ended, at one time."""
+        """Returns whether all tasks of a stage are done."""
         return all(t.state is TaskState.DONE for t in self.tasks[stage])
 
     @property
     def is_done(self) -> bool:
-        """Whether all its tasks have ended."""
+        """Whether all tasks of the job are done."""
         return all(self.is_stage_done(n) for n in range(len(self.tasks)))
 
     def waiting_steps(self) -> list[list[Task]]:
-        """Returns the tasks, by step, that may be placed now.
+        """Returns the waiting tasks that may be placed now, by step.
 
-        Of a gang that is all of them, or none while a run of it goes on.
+        Of a gang these are all tasks, or none while any of them has a run.
         """
         ready = [
-            self._waiting_of(number, step, time)
-            for time in range(self.released)
+            self._ready_tasks(number, step, iteration)
+            for iteration in range(self.released)
             for number, step in enumerate(self.job.steps)
         ]
         return [tasks for tasks in ready if tasks]
 
-    def _waiting_of(self, number: int, step: Step, time: int) -> list[Task]:
+    def _ready_tasks(
+        self, number: int, step: Step, iteration: int
+    ) -> list[Task]:
+        """Returns the waiting tasks of a step whose predecessors are done."""
         job = self.job
-        for before in step.after:
-            if not self.is_stage_done(job.stage_of(before, time)):
+        for predecessor in step.after:
+            if not self.is_stage_done(job.stage_of(predecessor, iteration)):
                 return []
         waiting = [
             task
-            for task in self.tasks[job.stage_of(number, time)]
+            for task in self.tasks[job.stage_of(number, iteration)]
             if task.state is TaskState.WAITING
         ]
         is_whole = len(waiting) == step.count
         return waiting if is_whole or not step.is_gang else []
 
-    # Ends.
+    # Ends of runs and gangs.
 
     def gang_of(self, task: Task) -> list[Task]:
-        """Returns the tasks that work jointly with one, itself among them."""
+        """Returns all tasks of a task's gang, or the task alone."""
         return self.tasks_of(task.id) if task.step.is_gang else [task]
 
     def note_done(self, task: Task) -> list[Task]:
-        """Notes that a task has ended well; returns those that did with it."""
+        """Marks a task, or its gang, as done; returns the marked tasks."""
         members = self.gang_of(task)
         for member in members:
             member.state = TaskState.DONE
         return members
 
     def note_failure(self, task: Task, run: int) -> Task:
-        """Counts a failed run once; returns the task that counts it."""
-        counting = self.gang_of(task)[0]
-        if run > counting.last_failed_run:
-            counting.last_failed_run = run
-            counting.failures += 1
-        return counting
+        """Counts a failed run, once for a gang.
+
+        Args:
+            task: the task that failed.
+            run: number of the run.
+
+        Returns:
+            The task at which the failure is counted.
+        """
+        counted = self.gang_of(task)[0]
+        if run > counted.last_failed_run:
+            counted.last_failed_run = run
+            counted.failures += 1
+        return counted
 
     def runs_of_gang(self, task: Task) -> list["Run"]:
-        """Returns the runs of a gang that go on."""
+        """Returns the present runs of a task's gang; [] without a gang."""
         if not task.step.is_gang:
             return []
-        return [one.run for one in self.gang_of(task) if one.run is not None]
+        return [
+            member.run
+            for member in self.gang_of(task)
+            if member.run is not None
+        ]
 
     def partial_gangs(self) -> list["Run"]:
-        """Returns the runs of gangs some of whose tasks are not placed."""
+        """Returns the runs of gangs of which some tasks are not placed."""
         runs: list[Run] = []
         for tasks in self.tasks:
-            is_waiting = any(one.state is TaskState.WAITING for one in tasks)
+            is_waiting = any(task.state is TaskState.WAITING for task in tasks)
             if tasks[0].step.is_gang and is_waiting:
                 runs += self.runs_of_gang(tasks[0])
         return runs
--- a/packages/pool/src/clayfield/pool/worker.py
+++ b/packages/pool/src/clayfield/pool/worker.py
@@ -1,53 +1,67 @@
-"""One worker as its holder sees it: room, lease, clock and health."""
+"""The holder's view of one worker: capacity, lease, clock and health.
+
+A worker is one incarnation of a back end, that is, one start of its process.
+A restarted worker has a new name.
+"""
 
 from clayfield.base.events import Event, emit
 from clayfield.pool.tasks import Run, TaskId
 from clayfield.wire.jobs import Step, WorkerInfo, WorkerState
 
-# Leases, in ms on the worker's clock; it may run this much slow.
+# Greatest relative drift of a worker's clock against the holder's.
 CLOCK_DRIFT = 0.02
-# What an order may spend on its way and still count from its sending.
+# Allowance for the transit of a command that renews a lease.
 TRANSIT_MS = 60.0
-# Share of a new value in the running mean of a worker's speed; a run that took
-# much longer than it should says more than one that did not.
+# Weight of a new sample in the running mean of a worker's speed.
 SPEED_WEIGHT = 0.15
-SLOW_WEIGHT = 0.5
-SLOW_PACE = 0.25
+# The same for a sample below `SLOW_SAMPLE_SHARE` of the mean, which is a
+# stronger sign of a change than other samples.
+SLOW_SAMPLE_WEIGHT = 0.5
+SLOW_SAMPLE_SHARE = 0.25
+# Speed below which a worker counts as slow.
 SLOW_SPEED = 0.5
-FASTEST = 3.0
-SLOWEST = 0.1
-# Jobs in a row that failed here before the worker is set aside.
+MAX_SPEED = 3.0
+MIN_SPEED = 0.1
+# Number of different jobs that fail in a row before a worker is suspended.
 FAILED_JOBS = 2
-FIRST_PAUSE_MS = 700.0
-LONGEST_PAUSE_MS = 2800.0
+# Bounds of the suspension, which doubles each time.
+MIN_SUSPENSION_MS = 700.0
+MAX_SUSPENSION_MS = 2800.0
 
 
 class Worker:
-    """A worker's life.
+    """One incarnation of a worker.
+
+    Times are in ms on the holder's clock unless noted.
 
     Attributes:
-        info: what it said of itself.
-        runs: what is reserved there, by task.
-        noted_upto: the number of the latest end that was listed.
-        is_lease_withheld: whether its lease is let lapse, since nobody may
-            vouch for what runs there.
-        is_adopted: whether it has obeyed this holder yet.
-        is_gone: whether this life is surely over.
-        is_reachable: whether the latest hold was answered.
-        hold_call: the number of the latest hold.
-        open_hold: the number of the waiting hold, 0 while there is none.
-        hold_wait_ms: how long the waiting hold waits.
-        next_hold_ms: when to hold again.
-        lease_ends_ms: when, on the holder's clock, all that it was told to
-            run has surely lapsed.
-        paced_ms: when tasks that fill were last paced here.
-        raise_pause_ms: how long after that their pace may be raised.
-        foreign_end_ms: when it last listed an end that another holder is to
-            take note of, as a stand-by sees it.
-        lapsed_ms: when its lease was last known to have lapsed.
-        answered_ms: when it last answered anything.
-        obeyed_ms: when the latest hold was sent that it obeyed.
-        speed: how fast it works against what was expected.
+        info: the worker's latest heartbeat.
+        runs: runs whose resources are reserved on the worker, by task.
+        last_end_sequence: sequence number of the latest end that the worker
+            has listed.
+        is_lease_withheld: whether the lease is not renewed, so that it
+            lapses and the runs on the worker end.
+        is_adopted: whether the worker has accepted a poll of this holder,
+            and no fencing error since; its runs are then known.
+        is_gone: whether this incarnation has certainly ended.
+        is_reachable: whether the latest poll got a reply.
+        unreachable_since_ms: time since which the worker is unreachable.
+        last_poll: number of the latest poll.
+        open_poll: number of the open poll, 0 if there is none.
+        poll_wait_ms: how long the worker may delay its reply to the open
+            poll, in ms.
+        next_hold_ms: time of the next poll.
+        lease_ends_ms: time by which the last lease has certainly lapsed.
+        throttled_ms: time of the latest change of speed of a batch run.
+        raise_interval_ms: least time from then to a raise of the speed, in
+            ms.
+        deferred_end_ms: time when the worker last listed an end that a
+            standby leaves to the holder.
+        lapsed_ms: time when the lease was last known to have lapsed.
+        last_reply_ms: time of the latest reply.
+        obeyed_ms: sending time of the latest poll that the worker accepted.
+        speed: running mean of the expected duration of runs divided by the
+            actual one; 1 for a worker of usual speed.
     """
 
     __slots__ = (
@@ -56,51 +70,58 @@
         "_free_cpu",
         "_free_gpu",
         "_free_memory_mb",
-        "_pause_ms",
-        "_paused_until_ms",
+        "_suspended_until_ms",
+        "_suspension_ms",
         "_unstored_ends",
-        "answered_ms",
-        "foreign_end_ms",
-        "hold_call",
-        "hold_wait_ms",
+        "deferred_end_ms",
         "info",
         "is_adopted",
         "is_gone",
         "is_lease_withheld",
         "is_reachable",
         "lapsed_ms",
+        "last_end_sequence",
+        "last_poll",
+        "last_reply_ms",
         "lease_ends_ms",
         "next_hold_ms",
-        "noted_upto",
         "obeyed_ms",
-        "open_hold",
-        "paced_ms",
-        "raise_pause_ms",
+        "open_poll",
+        "poll_wait_ms",
+        "raise_interval_ms",
         "runs",
         "speed",
+        "throttled_ms",
         "unreachable_since_ms",
     )
 
-    def __init__(self, info: WorkerInfo, now_ms: float, first_call: int = 0):
+    def __init__(self, info: WorkerInfo, now_ms: float, first_poll: int = 0):
+        """Adds a worker, which has the default speed and no runs.
+
+        Args:
+            info: the worker's heartbeat.
+            now_ms: the current time.
+            first_poll: number after which its polls are numbered.
+        """
         self.info = info
         self.runs: dict[TaskId, Run] = {}
-        self.noted_upto = 0
+        self.last_end_sequence = 0
         self._unstored_ends: set[int] = set()
         self.is_lease_withheld = False
         self.lapsed_ms = 0.0
-        self.paced_ms = 0.0
-        self.raise_pause_ms = 600.0
-        self.foreign_end_ms = 0.0
+        self.throttled_ms = 0.0
+        self.raise_interval_ms = 600.0
+        self.deferred_end_ms = 0.0
         self.is_adopted = False
         self.is_gone = False
         self.is_reachable = True
         self.unreachable_since_ms = now_ms
-        self.hold_call = first_call
-        self.open_hold = 0
-        self.hold_wait_ms = 0
+        self.last_poll = first_poll
+        self.open_poll = 0
+        self.poll_wait_ms = 0
         self.next_hold_ms = now_ms
         self.lease_ends_ms = now_ms
-        self.answered_ms = now_ms
+        self.last_reply_ms = now_ms
         self.obeyed_ms = -1.0
         self.speed = 1.0
         self._clock_offset_ms: float | None = None
@@ -108,28 +129,28 @@
         self._free_memory_mb = info.memory_mb
         self._free_gpu = info.gpu
         self._failed_jobs: list[str] = []
-        self._pause_ms = FIRST_PAUSE_MS
-        self._paused_until_ms = 0.0
+        self._suspension_ms = MIN_SUSPENSION_MS
+        self._suspended_until_ms = 0.0
 
     @property
     def name(self) -> str:
-        """The name of this life."""
+        """The name, which is unique to this incarnation."""
         return self.info.name
 
     @property
     def free_cpu(self) -> int:
-        """Thousandths of a core that are not reserved."""
+        """Unreserved CPU, in thousandths of a core."""
         return self._free_cpu
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no new tasks."""
+        """Whether the worker has announced that it accepts no new tasks."""
         return self.info.state is WorkerState.DRAINING
 
-    # Room.
+    # Capacity.
 
     def fits(self, step: Step) -> bool:
-        """Tells whether there is room for a task of a step."""
+        """Returns whether a task of a step fits the free capacity."""
         return (
             step.room_cpu <= self._free_cpu
             and step.memory_mb <= self._free_memory_mb
@@ -137,7 +158,7 @@
         )
 
     def could_fit(self, step: Step) -> bool:
-        """Tells whether there would be room if nothing else ran."""
+        """Returns whether a task of a step would fit the idle worker."""
         return (
             step.room_cpu <= self.info.cpu
             and step.memory_mb <= self.info.memory_mb
@@ -145,65 +166,73 @@
         )
 
     def reserve(self, run: Run) -> None:
-        """Takes the room of a run."""
+        """Adds a run and reserves its resources."""
         self.runs[run.task_id] = run
-        self._shift(run, -1)
+        self._change_free(run, -1)
 
     def release(self, run: Run) -> None:
-        """Gives the room of a run back."""
+        """Removes a run and releases its resources."""
         if self.runs.get(run.task_id) is run:
             del self.runs[run.task_id]
-            self._shift(run, 1)
+            self._change_free(run, 1)
 
-    def _shift(self, run: Run, sign: int) -> None:
+    def _change_free(self, run: Run, sign: int) -> None:
         self._free_cpu += sign * run.cpu
         self._free_memory_mb += sign * run.memory_mb
         self._free_gpu += sign * run.gpu
 
-    # Ends.
+    # Ends of runs.
 
     @property
     def seen_upto(self) -> int:
-        """The number of the latest end that the worker may forget."""
+        """Sequence number up to which the worker may discard ends."""
         if not self._unstored_ends:
-            return self.noted_upto
+            return self.last_end_sequence
         return min(self._unstored_ends) - 1
 
     @property
     def has_unstored_ends(self) -> bool:
-        """Whether it must list ends again until they are stored."""
+        """Whether ends must stay on the worker until they are stored."""
         return bool(self._unstored_ends)
 
     def await_storing(self, sequence: int) -> None:
-        """Has the worker go on listing an end that is not stored yet."""
+        """Keeps an end on the worker's list until `on_stored` is called."""
         self._unstored_ends.add(sequence)
 
     def on_stored(self, sequence: int) -> None:
-        """Learns that an end is stored."""
+        """Handles the confirmation that an end is in stable storage."""
         self._unstored_ends.discard(sequence)
 
     # Clock and lease.
 
     def on_clock(self, clock_ms: float, now_ms: float) -> None:
-        """Takes a reading of its clock from an answer that just came."""
+        """Updates the clock offset from a reply that has just arrived."""
         self._clock_offset_ms = clock_ms - now_ms
 
     def lease_until(self, now_ms: float, lease_ms: float) -> float | None:
-        """Returns the end of a lease from now on, on the worker's clock."""
+        """Returns the end of a lease from now on, on the worker's clock.
+
+        None while the offset of that clock is unknown.
+        """
         if self._clock_offset_ms is None:
             return None
         return now_ms + self._clock_offset_ms + lease_ms
 
     def on_lease_sent(self, now_ms: float, lease_ms: float) -> None:
-        """Notes that an order that renews the lease was sent."""
+        """Records that a command that renews the lease was sent."""
         ends_ms = now_ms + lease_ms * (1 + CLOCK_DRIFT) + TRANSIT_MS
         self.lease_ends_ms = max(self.lease_ends_ms, ends_ms)
 
     def withhold_lease(self, since_ms: float, now_ms: float) -> None:
-        """Lets its lease lapse once after a time, then renews it again.
+        """Withholds the lease until it has lapsed once after a time.
+
+        The tasks of the ends that the worker lists may then be started
+        elsewhere: an end that is recorded after the lease has lapsed does
+        not count.
 
-        What it lists as ended can then be started elsewhere: an end that is
-        taken note of only after the lease has lapsed does not count.
+        Args:
+            since_ms: time after which the lease must lapse.
+            now_ms: the current time.
         """
         if self.is_lease_withheld and now_ms > self.lease_ends_ms:
             self.lapsed_ms = now_ms
@@ -212,68 +241,86 @@
     # Health.
 
     def on_success(self, took_ms: float, work_ms: float) -> None:
-        """Learns that a run ended well.
+        """Updates the health and speed after a successful run.
 
         Args:
-            took_ms: how long it took here.
-            work_ms: how long it should take on a worker of usual speed.
+            took_ms: duration of the run, in ms.
+            work_ms: expected duration on a worker of usual speed, in ms.
         """
         self._failed_jobs.clear()
-        self._pause_ms = FIRST_PAUSE_MS
+        self._suspension_ms = MIN_SUSPENSION_MS
         if work_ms <= 0 or took_ms <= 0:
             return
-        self._learn_pace(work_ms / took_ms)
+        self._add_speed_sample(work_ms / took_ms)
 
     def on_stuck(self, passed_ms: float, work_ms: float, now_ms: float) -> None:
-        """Learns that a run takes far too long; it is not over yet."""
-        self._learn_pace(work_ms / passed_ms)
-        self.set_aside(now_ms, "run stuck")
+        """Suspends the worker because of a hung run.
 
-    def _learn_pace(self, pace: float) -> None:
-        pace = min(FASTEST, max(SLOWEST, pace))
-        is_slow = pace < SLOW_PACE * self.speed
-        weight = SLOW_WEIGHT if is_slow else SPEED_WEIGHT
-        self.speed += weight * (pace - self.speed)
+        Args:
+            passed_ms: time that the run has taken so far, in ms.
+            work_ms: expected duration on a worker of usual speed, in ms.
+            now_ms: the current time.
+        """
+        self._add_speed_sample(work_ms / passed_ms)
+        self.set_aside(now_ms, "run hung")
+
+    def _add_speed_sample(self, sample: float) -> None:
+        sample = min(MAX_SPEED, max(MIN_SPEED, sample))
+        is_slow = sample < SLOW_SAMPLE_SHARE * self.speed
+        weight = SLOW_SAMPLE_WEIGHT if is_slow else SPEED_WEIGHT
+        self.speed += weight * (sample - self.speed)
 
     @property
     def is_slow(self) -> bool:
-        """Whether it works at less than half of the usual speed."""
+        """Whether the worker runs at less than half of the usual speed."""
         return self.speed < SLOW_SPEED
 
     def on_failure(self, job: str, now_ms: float) -> None:
-        """Learns that a run failed, by its own fault or the worker's."""
+        """Records a failed run; suspends the worker after several jobs.
+
+        Args:
+            job: key of the run's job.
+            now_ms: the current time.
+        """
         if job not in self._failed_jobs:
             self._failed_jobs.append(job)
         if len(self._failed_jobs) >= FAILED_JOBS:
             self.set_aside(now_ms, f"{len(self._failed_jobs)} jobs failed")
 
     def set_aside(self, now_ms: float, cause: str) -> None:
-        """Gives it no new tasks for a while, longer each time."""
-        if now_ms < self._paused_until_ms:
+        """Suspends the worker: it gets no new tasks for a while.
+
+        The suspension doubles each time, up to a limit, until a run succeeds.
+
+        Args:
+            now_ms: the current time.
+            cause: the reason, for the log.
+        """
+        if now_ms < self._suspended_until_ms:
             return
         emit(
             Event.WORKER_SET_ASIDE,
             worker=self.name,
             cause=cause,
-            pause_ms=round(self._pause_ms),
+            pause_ms=round(self._suspension_ms),
         )
-        self._paused_until_ms = now_ms + self._pause_ms
-        self._pause_ms = min(LONGEST_PAUSE_MS, self._pause_ms * 2)
+        self._suspended_until_ms = now_ms + self._suspension_ms
+        self._suspension_ms = min(MAX_SUSPENSION_MS, self._suspension_ms * 2)
 
     @property
     def is_known(self) -> bool:
-        """Whether the size of everything that runs here is known."""
+        """Whether the resource usage of all runs on the worker is known."""
         return not any(run.is_foreign for run in self.runs.values())
 
     def is_open(self, now_ms: float) -> bool:
-        """Tells whether new tasks may be placed here."""
+        """Returns whether new tasks may be placed on the worker."""
         return (
             self.is_adopted
             and self.is_reachable
             and not self.is_gone
             and not self.is_draining
             and not self.is_lease_withheld
-            and now_ms >= self._paused_until_ms
+            and now_ms >= self._suspended_until_ms
             and self.is_known
             and not any(run.is_stuck(now_ms) for run in self.runs.values())
         )
