--- a/packages/pool/src/clayfield/pool/actions.py
+++ b/packages/pool/src/clayfield/pool/actions.py
@@ -1,11 +1,21 @@
-"""What an entry wants done."""
+"""Actions of an entry node, which its process executes.
+
+Besides the commands to workers and messages to nodes, these are replies to
+callers and connections to nodes. `waiter` is the number by which the process
+identifies a caller's pending request.
+"""
 
 from clayfield.pool.orders import PoolAction
 from clayfield.wire.cluster import JobEnded, StateTold
 
 
 class AnswerCaller:
-    """Answer a caller."""
+    """Sends a caller the result of its job.
+
+    Attributes:
+        waiter: number of the caller's request.
+        ended: the result.
+    """
 
     __slots__ = ("ended", "waiter")
 
@@ -15,10 +25,12 @@
 
 
 class AnswerCancel:
-    """Answer a caller that cancels a job.
+    """Sends a caller the result of its request to cancel a job.
 
     Attributes:
-        is_known: whether there was such a job; None where nobody can tell.
+        waiter: number of the caller's request.
+        is_known: whether the job was found; None if that could not be
+            determined.
     """
 
     __slots__ = ("is_known", "waiter")
@@ -29,10 +41,11 @@
 
 
 class AnswerState:
-    """Answer a caller that asks for a kept job.
+    """Sends a caller the state of a kept job.
 
     Attributes:
-        told: where it stands, None where nobody can tell.
+        waiter: number of the caller's request.
+        told: the state; None if it could not be determined.
     """
 
     __slots__ = ("told", "waiter")
@@ -43,7 +56,11 @@
 
 
 class Dial:
-    """Keep a node connected."""
+    """Opens a connection to a node and keeps it open.
+
+    Attributes:
+        node: name of the node.
+    """
 
     __slots__ = ("node",)
 
--- a/packages/pool/src/clayfield/pool/orders.py
+++ b/packages/pool/src/clayfield/pool/orders.py
@@ -1,4 +1,8 @@
-"""What the holder tells workers and entries, and what workers answer."""
+"""Commands to workers, the workers' replies, and messages to other nodes.
+
+The holder and the standbys put commands into a list of actions; the node sends
+them and passes the replies back.
+"""
 
 import enum
 
@@ -7,10 +11,16 @@
 
 
 class OrderResult(enum.Enum):
-    """How a worker took an order.
-
-    GONE says that another life answers at its address; UNREACHED that no
-    byte of the order has left; LOST that it may yet be carried out.
+    """The result of a command to a worker.
+
+    DONE: executed. NO_ROOM: the free capacity does not suffice. OLD_RUN: the
+    worker has had this run of the task or a later one. TOO_LATE: the lease in
+    the command had already ended. FENCED: the worker has accepted a higher
+    fencing token. BAD_ORDER: the command is invalid. UNHEALTHY: the worker
+    replied with an error. NO_TICKET: the worker rejected the advisor's ticket.
+    GONE: another incarnation replied at the worker's address. UNREACHED: no
+    byte of the command was sent. LOST: the reply is missing, and the command
+    may still be executed.
     """
 
     DONE = "done"
@@ -27,7 +37,12 @@
 
 
 class EndKind(enum.Enum):
-    """How a run ended."""
+    """How a run ended, as its worker reports it.
+
+    DONE: successfully. FAILED: by an error. STOPPED: by a stop command.
+    LAPSED: by the end of the worker's lease. BROKEN: with another run of its
+    gang. ALONE: because other tasks of its gang did not start in time.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -38,15 +53,15 @@
 
 
 class RunningRow:
-    """A run that a worker lists as under way.
+    """A run that a worker lists as running.
 
     Attributes:
-        task_id: the task.
-        number: of the run.
-        percent: the share of its full pace at which it may work.
-        saved: the checkpoint of its progress, "" for none.
-        figure: the tail of the times of its answers in ms, where it serves;
-            None where it is not told.
+        task_id: identity of the task.
+        number: run number.
+        percent: share of full speed at which the run may work, in percent.
+        saved: the latest checkpoint of the run, "" for none.
+        figure: tail latency of a latency-sensitive run, in ms; None if it is
+            not reported.
     """
 
     __slots__ = ("figure", "number", "percent", "saved", "task_id")
@@ -70,11 +85,12 @@
     """A run that a worker lists as ended.
 
     Attributes:
-        sequence: its number within the worker's life.
-        task_id: the task.
-        number: of the run.
-        kind: how it ended.
-        saved: the checkpoint of its progress, "" for none.
+        sequence: sequence number of the end; it rises within an incarnation
+            of the worker.
+        task_id: identity of the task.
+        number: run number.
+        kind: how the run ended.
+        saved: the latest checkpoint of the run, "" for none.
     """
 
     __slots__ = ("kind", "number", "saved", "sequence", "task_id")
@@ -95,11 +111,12 @@
 
 
 class OrderAnswer:
-    """A worker's answer to a start or a stop.
+    """A worker's reply to a start or a stop.
 
     Attributes:
-        result: how it took the order.
-        clock_ms: its clock, None where it did not tell.
+        result: result of the command.
+        clock_ms: time on the worker's clock, in ms; None if it is not
+            reported.
     """
 
     __slots__ = ("clock_ms", "result")
@@ -110,13 +127,14 @@
 
 
 class HoldAnswer:
-    """A worker's answer to a hold.
+    """A worker's reply to a poll.
 
     Attributes:
-        result: how it took the order.
-        clock_ms: its clock, None where it did not tell.
-        running: what runs there.
-        ended: what has ended there since the latest end taken note of.
+        result: result of the command.
+        clock_ms: time on the worker's clock, in ms; None if it is not
+            reported.
+        running: runs that are running on the worker.
+        ended: runs that have ended there and are not yet acknowledged.
     """
 
     __slots__ = ("clock_ms", "ended", "result", "running")
@@ -135,19 +153,19 @@
 
 
 class StartRun:
-    """Tell a worker to start a run.
+    """Starts a run on a worker.
 
     Attributes:
-        worker: the name of its life.
-        address: where it is.
-        task_id: the task.
-        number: of the run.
-        spec: what to do.
-        lease_until_ms: until when the worker may run what it runs, on the
-            worker's clock.
-        fence: of the holder.
-        checkpoint: of the progress to go on from, "" for none.
-        ticket: of the advisor, "" where none is wanted.
+        worker: name of the worker.
+        address: address of the worker.
+        task_id: identity of the task.
+        number: run number.
+        spec: specification of the work, which only workers interpret.
+        lease_until_ms: end of the worker's lease, in ms on the worker's clock;
+            its runs may go on until then.
+        fence: fencing token of the sender.
+        checkpoint: the checkpoint from which the run resumes, "" for none.
+        ticket: the advisor's ticket, "" if none is needed.
     """
 
     __slots__ = (
@@ -186,7 +204,15 @@
 
 
 class StopRun:
-    """Tell a worker to stop a run."""
+    """Stops a run on a worker.
+
+    Attributes:
+        worker: name of the worker.
+        address: address of the worker.
+        task_id: identity of the task.
+        number: run number.
+        fence: fencing token of the sender.
+    """
 
     __slots__ = ("address", "fence", "number", "task_id", "worker")
 
@@ -206,7 +232,16 @@
 
 
 class PaceRun:
-    """Let a run work at a share of its full pace."""
+    """Limits the speed of a batch run.
+
+    Attributes:
+        worker: name of the worker.
+        address: address of the worker.
+        task_id: identity of the task.
+        number: run number.
+        percent: share of full speed at which the run may work, in percent.
+        fence: fencing token of the sender.
+    """
 
     __slots__ = ("address", "fence", "number", "percent", "task_id", "worker")
 
@@ -228,16 +263,18 @@
 
 
 class HoldWorker:
-    """Renew a worker's lease and ask what runs and what has ended there.
+    """Polls a worker: renews its lease and gets its running and ended runs.
 
     Attributes:
-        worker: the name of its life.
-        address: where it is.
-        seen_upto: the latest end taken note of.
-        wait_ms: how long the answer may wait for an end.
-        lease_until_ms: as in `StartRun`, None while its clock is not known.
-        fence: of the holder.
-        call: numbers the holds of a worker.
+        worker: name of the worker.
+        address: address of the worker.
+        seen_upto: sequence number up to which the worker may discard ends.
+        wait_ms: how long the worker may delay its reply until a run ends, in
+            ms.
+        lease_until_ms: end of the lease as in `StartRun`; None to leave the
+            lease as it is.
+        fence: fencing token of the sender.
+        call: number of the poll.
     """
 
     __slots__ = (
@@ -270,14 +307,17 @@
 
 
 class AskAdvisor:
-    """Ask the advisor which workers may run a step.
+    """Requests tickets for a step from the advisor.
+
+    The advisor is an outside service. Its tickets state which workers may run
+    a step of an advised job.
 
     Attributes:
-        call: numbers the questions.
-        job: the key of the job.
-        time: of the job's schedule.
-        step: the number of the step.
-        workers: the names of those that are asked about.
+        call: number of the request.
+        job: key of the job.
+        time: number of the schedule's iteration.
+        step: number of the step.
+        workers: names of the workers that the request is about.
     """
 
     __slots__ = ("call", "job", "step", "time", "workers")
@@ -293,12 +333,14 @@
 
 
 class Advice:
-    """The advisor's answer.
+    """The result of a request to the advisor.
 
     Attributes:
-        is_answer: whether it is one; else the advisor was busy or silent.
-        tickets: by name, of the workers that may run the step.
-        valid_ms: how long the tickets hold.
+        is_answer: whether the advisor replied; False if it was busy or
+            unresponsive.
+        tickets: tickets by name of the worker; a worker without one may not
+            run the step.
+        valid_ms: how long the tickets are valid, in ms.
     """
 
     __slots__ = ("is_answer", "tickets", "valid_ms")
@@ -315,7 +357,12 @@
 
 
 class TellEntry:
-    """Send a message to an entry."""
+    """Sends a message to a node.
+
+    Attributes:
+        node: name of the node.
+        message: the message.
+    """
 
     __slots__ = ("message", "node")
 
--- a/packages/pool/src/clayfield/pool/placement.py
+++ b/packages/pool/src/clayfield/pool/placement.py
@@ -1,4 +1,10 @@
-"""Which worker a task goes to."""
+"""Selects the workers on which tasks are placed.
+
+A task goes to a worker of its service that has the required label and enough
+free capacity. A gang, whose tasks start together, is placed as a whole or not
+at all. Of an advised job, a task goes only to workers for which the advisor, an
+outside service, has issued a ticket.
+"""
 
 import itertools
 from collections.abc import Iterable
@@ -8,48 +14,55 @@
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import Job, Step
 
-# What a rack other than the data's costs, as a share of speed.
-FAR_RACK_SHARE = 0.67
-# With more workers than this, only some with room are compared.
+# Share of a worker's speed that remains if a task's data is in another rack.
+REMOTE_RACK_FACTOR = 0.67
+# With more workers than this, only a sample of them is compared for a task.
 MANY_WORKERS = 64
-CANDIDATES = 16
+SAMPLE_SIZE = 16
 
 
 class RoomSearch:
-    """Finds workers for one task after the other, at one moment.
+    """Selects workers for a series of tasks at one point in time.
 
-    What found none is remembered: no task of the same kind that asks for as
-    much or more will find one.
+    A step that did not fit any worker is recorded, so that later tasks of the
+    same service and label that need at least as much are not tried.
     """
 
     __slots__ = (
         "_advisor",
-        "_is_open",
         "_misses",
         "_now_ms",
-        "_turn",
+        "_offset",
+        "_open_by_name",
         "_workers",
     )
 
     def __init__(
         self, workers: Iterable[Worker], advisor: Advisor, now_ms: float
     ):
+        """Creates a selector.
+
+        Args:
+            workers: the workers to select from.
+            advisor: tickets of the advised jobs.
+            now_ms: the current time.
+        """
         self._advisor = advisor
         self._now_ms = now_ms
         self._workers = list(workers)
-        self._is_open: dict[str, bool] = {}
+        self._open_by_name: dict[str, bool] = {}
         self._misses: dict[tuple[str, str], list[Step]] = {}
-        self._turn = int(now_ms)
+        self._offset = int(now_ms)
 
     def find(self, task: Task) -> Worker | None:
-        """Returns the worker for a task's next run, None when none has room.
+        """Returns the worker for a task's next run, None if none is suitable.
 
-        Of those with room: one on which it has not failed, then the fastest,
-        then the one that is left with least room.
+        Workers on which the task has neither failed nor hung come first, then
+        the faster ones, then those with least free CPU.
         """
         kind = (task.job.job.service, task.step.requires)
         misses = self._misses.setdefault(kind, [])
-        if any(_asks_as_much(task.step, missed) for missed in misses):
+        if any(_needs_at_least(task.step, missed) for missed in misses):
             return None
         candidates = self._candidates(task)
         if not candidates:
@@ -61,56 +74,58 @@
         return min(candidates, key=lambda worker: _score(task, worker))
 
     def _candidates(self, task: Task) -> list[Worker]:
-        """Returns workers that may run a task now.
+        """Returns workers that can run a task now.
 
-        Where there are many workers, a few of them that differ from task to
-        task, unless the task wants one rack or the advisor names workers.
+        Of many workers it returns a sample, which differs from task to task,
+        unless the task's data is in a certain rack.
         """
         workers = self._allowed(task)
-        most = len(workers)
-        if most > MANY_WORKERS and not task.step.rack:
-            most = CANDIDATES
-            workers = self._from_next_turn(workers)
+        limit = len(workers)
+        if limit > MANY_WORKERS and not task.step.rack:
+            limit = SAMPLE_SIZE
+            workers = self._rotated(workers)
         candidates: list[Worker] = []
         for worker in workers:
-            if may_run(task, worker) and self._is_open_now(worker):
+            if can_run(task, worker) and self._is_open(worker):
                 candidates.append(worker)
-                if len(candidates) >= most:
+                if len(candidates) >= limit:
                     break
         return candidates
 
-    def _from_next_turn(self, workers: list[Worker]) -> Iterable[Worker]:
-        self._turn += CANDIDATES
-        start = self._turn % len(workers)
+    def _rotated(self, workers: list[Worker]) -> Iterable[Worker]:
+        """Returns the workers from a new starting point, wrapping around."""
+        self._offset += SAMPLE_SIZE
+        start = self._offset % len(workers)
         return itertools.chain(
             itertools.islice(workers, start, None),
             itertools.islice(workers, start),
         )
 
-    def _is_open_now(self, worker: Worker) -> bool:
-        is_open = self._is_open.get(worker.name)
+    def _is_open(self, worker: Worker) -> bool:
+        """Returns whether a worker accepts tasks; caches the result."""
+        is_open = self._open_by_name.get(worker.name)
         if is_open is None:
             is_open = worker.is_open(self._now_ms)
-            self._is_open[worker.name] = is_open
+            self._open_by_name[worker.name] = is_open
         return is_open
 
     def _open_workers(self) -> list[Worker]:
-        return [one for one in self._workers if self._is_open_now(one)]
+        return [worker for worker in self._workers if self._is_open(worker)]
 
     def has_room_for(self, job: Job) -> bool:
-        """Tells whether all tasks of a job would find room at once."""
+        """Returns whether all tasks of a job would fit at once."""
         needed = job.task_count
         cpu = max(step.room_cpu for step in job.steps)
-        for worker in self._from_next_turn(self._workers):
+        for worker in self._rotated(self._workers):
             is_of_service = worker.info.service == job.service
-            if is_of_service and self._is_open_now(worker):
+            if is_of_service and self._is_open(worker):
                 needed -= worker.free_cpu // max(1, cpu)
             if needed <= 0:
                 return True
         return False
 
     def _allowed(self, task: Task) -> list[Worker]:
-        """Returns the workers that the advisor lets run a task."""
+        """Returns the workers that may run a task by the advisor's tickets."""
         if not task.job.job.is_advised:
             return self._workers
         return [
@@ -120,14 +135,20 @@
         ]
 
     def find_together(self, tasks: list[Task]) -> list[Worker] | None:
-        """Returns workers for all tasks of a gang at once, None if none.
+        """Returns a worker for each task of a gang, None if they do not fit.
+
+        If the gang prefers one rack, each rack is tried before all workers.
+
+        Args:
+            tasks: all tasks of the gang.
 
-        Where the gang wants one rack, racks are tried before all workers.
+        Returns:
+            The workers in the order of the tasks.
         """
         allowed = [
             worker
             for worker in self._allowed(tasks[0])
-            if self._is_open_now(worker)
+            if self._is_open(worker)
         ]
         groups = [allowed]
         if tasks[0].step.wants_one_rack:
@@ -142,7 +163,7 @@
 
 
 def _racks(workers: list[Worker]) -> list[list[Worker]]:
-    """Returns workers by rack, the rack with most room first."""
+    """Groups workers by rack, the rack with most free CPU first."""
     by_rack: dict[str, list[Worker]] = {}
     for worker in workers:
         by_rack.setdefault(worker.info.rack, []).append(worker)
@@ -154,10 +175,13 @@
 
 
 def _find_all(tasks: list[Task], workers: list[Worker]) -> list[Worker] | None:
-    """Returns a worker for each task, as if those before were placed."""
+    """Returns a worker for each task, None if not all tasks fit.
+
+    Each task reserves its resources until all workers are selected.
+    """
     found: list[tuple[Worker, Run]] = []
     for task in tasks:
-        candidates = [one for one in workers if may_run(task, one)]
+        candidates = [each for each in workers if can_run(task, each)]
         if not candidates:
             break
         best = min(candidates, key=lambda worker: _score(task, worker))
@@ -171,7 +195,8 @@
     return [worker for worker, _ in found]
 
 
-def _asks_as_much(step: Step, other: Step) -> bool:
+def _needs_at_least(step: Step, other: Step) -> bool:
+    """Returns whether a step's tasks need all that another's need."""
     return (
         step.room_cpu >= other.room_cpu
         and step.memory_mb >= other.memory_mb
@@ -179,8 +204,8 @@
     )
 
 
-def may_run(task: Task, worker: Worker) -> bool:
-    """Tells whether a worker may run a task and has room for it."""
+def can_run(task: Task, worker: Worker) -> bool:
+    """Returns whether a worker is suitable for a task and has capacity."""
     step = task.step
     if worker.info.service != task.job.job.service:
         return False
@@ -189,27 +214,31 @@
     if not worker.fits(step) or task.id in worker.runs:
         return False
     return not step.max_per_worker or (
-        _placed_of_step(task, worker) < step.max_per_worker
+        _count_of_step(task, worker) < step.max_per_worker
     )
 
 
-def _placed_of_step(task: Task, worker: Worker) -> int:
+def _count_of_step(task: Task, worker: Worker) -> int:
+    """Returns how many tasks of a task's step are on a worker."""
     return sum(
         _is_of_step(run.task_id, task.id) for run in worker.runs.values()
     )
 
 
 def _spare_cpu(worker: Worker, task: Task) -> int:
-    """Returns what a worker leaves to one more task that fills."""
-    filling = sum(
+    """Returns the free CPU for one more batch task.
+
+    Batch tasks reserve nothing, so those on the worker are subtracted.
+    """
+    batch_runs = sum(
         run.task is not None and run.task.step.fills
         for run in worker.runs.values()
     )
-    return worker.free_cpu - filling * task.step.cpu
+    return worker.free_cpu - batch_runs * task.step.cpu
 
 
 def _is_of_step(task_id: TaskId, other: TaskId) -> bool:
-    """Tells whether two tasks are of one step at one time."""
+    """Returns whether two tasks are of one step in one iteration."""
     return (task_id.job, task_id.step, task_id.time) == (
         other.job,
         other.step,
@@ -218,9 +247,10 @@
 
 
 def _score(task: Task, worker: Worker) -> tuple[bool, float, int]:
+    """Returns the sort key of a worker for a task; lower is better."""
     speed = worker.speed
     if task.step.rack and task.step.rack not in worker.info.labels:
-        speed *= FAR_RACK_SHARE
+        speed *= REMOTE_RACK_FACTOR
     return (
         worker.name in task.avoided,
         -round(speed, 1),
