--- a/packages/pool/src/clayfield/pool/estimates.py
+++ b/packages/pool/src/clayfield/pool/estimates.py
@@ -1,23 +1,28 @@
-"""How long tasks take, learnt from those that ended.
+"""Estimates task durations from those of tasks that have ended.
 
-A caller's estimate is rough. Of each queue the running means of the
-logarithms of estimates and true times are kept, with their covariance; the
-expected time is the regression of the true time on the estimate. Where the
-estimates tell little, the queue's usual time counts for more.
+A caller's estimate is rough. For each queue, the running means of the
+logarithms of estimates and durations are kept with their variance and
+covariance; the expected duration is the linear regression of the duration on
+the estimate. Where estimates and durations correlate weakly, it is close to
+the queue's mean duration.
 """
 
 import math
 
-# Share of a new value in the running means.
-WEIGHT = 0.02
-# How many values the first guess, that estimates are right, counts for.
+# Least weight of a new sample in the running means.
+MIN_WEIGHT = 0.02
+# Number of samples that the prior, by which estimates are exact, counts for.
 PRIOR_COUNT = 20.0
 PRIOR_VARIANCE = 0.16
-LEAST_MS = 0.5
+# Lower times count as this one, since their logarithms are unbounded.
+MIN_MS = 0.5
 
 
 class _Regression:
-    """The regression of one queue, in logarithms."""
+    """The linear regression of one queue, in logarithms.
+
+    x is the logarithm of the estimate, y that of the duration.
+    """
 
     __slots__ = ("_count", "_covariance", "_mean_x", "_mean_y", "_variance")
 
@@ -29,26 +34,26 @@
         self._covariance = PRIOR_VARIANCE
 
     def add(self, x: float, y: float) -> None:
+        """Adds a sample."""
         self._count += 1.0
-        weight = max(WEIGHT, 1.0 / (self._count + PRIOR_COUNT))
-        apart_x = x - self._mean_x
-        apart_y = y - self._mean_y
-        self._mean_x += weight * apart_x
-        self._mean_y += weight * apart_y
-        keep = 1.0 - weight
-        self._variance = keep * (self._variance + weight * apart_x * apart_x)
-        self._covariance = keep * (
-            self._covariance + weight * apart_x * apart_y
-        )
-
-    def expect(self, x: float) -> float:
+        weight = max(MIN_WEIGHT, 1.0 / (self._count + PRIOR_COUNT))
+        diff_x = x - self._mean_x
+        diff_y = y - self._mean_y
+        self._mean_x += weight * diff_x
+        self._mean_y += weight * diff_y
+        decay = 1.0 - weight
+        self._variance = decay * (self._variance + weight * diff_x * diff_x)
+        self._covariance = decay * (self._covariance + weight * diff_x * diff_y)
+
+    def predict(self, x: float) -> float:
+        """Returns the expected y for an x."""
         slope = self._covariance / self._variance if self._variance else 1.0
         slope = min(1.0, max(0.0, slope))
         return self._mean_y + slope * (x - self._mean_x)
 
 
 class Estimates:
-    """Corrects the callers' estimates, by queue."""
+    """Corrects callers' estimates of task durations, by queue."""
 
     __slots__ = ("_regressions",)
 
@@ -56,14 +61,28 @@
         self._regressions: dict[str, _Regression] = {}
 
     def expected_ms(self, queue: str, estimate_ms: float) -> float:
-        """Returns how long a task of a queue will likely take."""
+        """Returns the expected duration of a task.
+
+        Args:
+            queue: name of the queue.
+            estimate_ms: the caller's estimate, in ms.
+
+        Returns:
+            The duration on a worker of usual speed, in ms.
+        """
         regression = self._regressions.get(queue)
         if regression is None:
-            return max(LEAST_MS, estimate_ms)
-        return math.exp(regression.expect(_log(estimate_ms)))
+            return max(MIN_MS, estimate_ms)
+        return math.exp(regression.predict(_log(estimate_ms)))
 
     def on_end(self, queue: str, estimate_ms: float, took_ms: float) -> None:
-        """Learns how long a task took on a worker of usual speed."""
+        """Adds the duration of a task that has ended.
+
+        Args:
+            queue: name of the queue.
+            estimate_ms: the caller's estimate, in ms.
+            took_ms: duration, converted to a worker of usual speed, in ms.
+        """
         x = _log(estimate_ms)
         regression = self._regressions.get(queue)
         if regression is None:
@@ -72,4 +91,4 @@
 
 
 def _log(time_ms: float) -> float:
-    return math.log(max(LEAST_MS, time_ms))
+    return math.log(max(MIN_MS, time_ms))
--- a/packages/pool/src/clayfield/pool/forecast.py
+++ b/packages/pool/src/clayfield/pool/forecast.py
@@ -1,41 +1,42 @@
-"""When a job would end if it were taken now.
+"""Forecasts when a job would end if it were accepted now.
 
-The room of the workers is seen as places that become free one after the
-other. What goes before the job takes the places that are free first; the job
-takes the next ones. Only sums and a heap: no I/O, no state.
+The workers' capacity is modeled as slots, each with the time at which it
+becomes free. Tasks are assigned to the slots in order of precedence, each to
+the slot that is free first.
 """
 
 import heapq
 
 
 class Forecast:
-    """The places, by the time at which each becomes free."""
+    """The slots, ordered by the time at which they become free."""
 
     __slots__ = ("_free_ms",)
 
     def __init__(self, free_ms: list[float]):
-        """Starts.
+        """Creates a forecast without tasks.
 
         Args:
-            free_ms: for each place how long until it is free, 0 if it is.
+            free_ms: for each slot the time until it is free, in ms; 0 if it is
+                free now.
         """
         self._free_ms = list(free_ms)
         heapq.heapify(self._free_ms)
 
     @property
     def has_places(self) -> bool:
-        """Whether there is any place at all."""
+        """Whether there is any slot."""
         return bool(self._free_ms)
 
     def add(self, task_ms: float, ready_ms: float = 0.0) -> float:
-        """Puts a task on the place that is free first.
+        """Assigns a task to the slot that is free first.
 
         Args:
-            task_ms: how long it takes.
-            ready_ms: in how many ms its turn comes.
+            task_ms: duration of the task, in ms.
+            ready_ms: time until the task may start, in ms from now.
 
         Returns:
-            In how many ms it would end.
+            When the task would end, in ms from now.
         """
         end_ms = max(self._free_ms[0], ready_ms) + task_ms
         heapq.heapreplace(self._free_ms, end_ms)
--- a/packages/pool/src/clayfield/pool/routing.py
+++ b/packages/pool/src/clayfield/pool/routing.py
@@ -1,19 +1,24 @@
-"""The routes in force: which queue a request belongs to."""
+"""Finds the route of a request, which determines its queue."""
 
 from clayfield.wire.jobs import Limits, Route, RoutingTable
 
 
 class Routes:
-    """A routing table, ready to be asked.
+    """An index of a routing table.
 
     Attributes:
-        version: of the table, 0 where there is none.
-        limits: of one request.
+        version: version of the table, 0 if there is none.
+        limits: limits of a single request.
     """
 
     __slots__ = ("_by_host", "limits", "version")
 
     def __init__(self, table: RoutingTable | None = None):
+        """Indexes a table.
+
+        Args:
+            table: the table; None for one without routes.
+        """
         self.version = table.version if table else 0
         self.limits = table.limits if table else Limits()
         self._by_host: dict[str, list[Route]] = {}
@@ -23,7 +28,12 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route of a host whose prefix is the longest."""
+        """Returns the matching route with the longest prefix, or None.
+
+        Args:
+            host: host name of the request.
+            path: path of the request.
+        """
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/pool/src/clayfield/pool/timing.py
+++ b/packages/pool/src/clayfield/pool/timing.py
@@ -1,13 +1,14 @@
-"""The times that a pool keeps, as it is told at its start."""
+"""Times that a pool is configured with at its start."""
 
 
 class PoolTiming:
-    """The times that a pool keeps.
+    """Times that a pool is configured with.
 
     Attributes:
-        lease_ms: the longest lease that a worker takes.
-        stop_ms: how long a stop takes at most.
-        keep_ended_ms: how long it is told how a kept job ended.
+        lease_ms: longest lease that a worker accepts, in ms.
+        stop_ms: longest time that a worker needs to stop a run, in ms.
+        keep_ended_ms: how long the end state of a kept job can be queried, in
+            ms.
     """
 
     __slots__ = ("keep_ended_ms", "lease_ms", "stop_ms")
