--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,7 @@
-"""Gangs on a manual clock: all tasks of a run at once, or none."""
+"""Gangs, simulated with a manual clock.
+
+Guards against gangs of which only some tasks run.
+"""
 
 import msgspec
 import pytest
@@ -15,7 +18,7 @@
     return {key: ended.verdict for key, (_, ended) in site.ended.items()}
 
 
-def _assert_sound(site):
+def _assert_no_violations(site):
     assert site.faults() == []
     assert site.started_after_done() == []
 
@@ -30,23 +33,23 @@
 
 
 @KEPT
-def test_a_gang_starts_under_one_number_and_ends_together(is_kept):
+def test_gang_runs_under_one_run_number_and_completes(is_kept):
     site = granted_site(task_ms=100)
     site.submit("a-1/1", "gang", 8, 2, is_kept, GANG)
     site.run(1000)
-    _assert_sound(site)
+    _assert_no_violations(site)
     _assert_completed(site, "gang", is_kept)
     assert len(site.ends("gang", EndKind.DONE)) == 16
     assert {ran.number for ran in site.ran} == {1}
 
 
 @KEPT
-def test_two_gangs_that_do_not_fit_together_run_one_after_the_other(is_kept):
+def test_gangs_that_do_not_fit_at_once_run_one_after_the_other(is_kept):
     site = granted_site(task_ms=100)
     for number in range(3):
         site.submit("a-1/1", f"gang-{number}", 8, 1, is_kept, GANG)
     site.run(1500)
-    _assert_sound(site)
+    _assert_no_violations(site)
     for number in range(3):
         verdict = _verdicts(site)[f"gang-{number}"]
         if verdict is not Verdict.REFUSED:
@@ -55,13 +58,13 @@
 
 
 @KEPT
-def test_a_gang_fails_once_a_run_however_many_tasks_failed(is_kept):
+def test_failed_gang_run_counts_as_one_failure(is_kept):
     site = granted_site(task_ms=100)
     for worker in site.workers.values():
         worker.is_failing = True
     site.submit("a-1/1", "gang", 6, 1, is_kept, GANG)
     site.run(6000)
-    _assert_sound(site)
+    _assert_no_violations(site)
     failed = site.ends("gang", EndKind.FAILED)
     assert len({ran.number for ran in failed}) == 3
     if is_kept:
@@ -74,7 +77,7 @@
 
 @KEPT
 @pytest.mark.parametrize("seed", range(12))
-def test_starts_without_an_answer_leave_no_task_alone(seed, is_kept):
+def test_starts_without_reply_leave_no_partial_gang(seed, is_kept):
     site = granted_site(seed, task_ms=100)
     for worker in site.workers.values():
         worker.late_share = 0.1
@@ -82,15 +85,15 @@
         site.submit("b-1/1", f"gang-{number}", 4, 1, is_kept, GANG)
         site.run(250)
     site.run(12_000)
-    _assert_sound(site)
+    _assert_no_violations(site)
     if is_kept:
-        taken = _verdicts(site)
-        for key in taken:
+        accepted = _verdicts(site)
+        for key in accepted:
             _assert_completed(site, key, is_kept)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_new_holder_goes_on_with_whole_gangs_and_restarts_others(seed):
+def test_new_holder_keeps_complete_gangs_and_restarts_partial_ones(seed):
     site = granted_site(seed, task_ms=700)
     for number in range(2):
         site.submit("b-1/1", f"gang-{number}", 5, 1, True, GANG)
@@ -102,13 +105,13 @@
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
     site.run(8000)
-    _assert_sound(site)
+    _assert_no_violations(site)
     for number in range(2):
         _assert_completed(site, f"gang-{number}", True)
 
 
 @KEPT
-def test_a_gang_that_wants_one_rack_gets_one_where_it_fits(is_kept):
+def test_gang_that_prefers_one_rack_gets_one_if_it_fits(is_kept):
     site = granted_site(task_ms=100)
     template = msgspec.structs.replace(GANG, wants_one_rack=True)
     site.submit("a-1/1", "gang", 4, 1, is_kept, template)
@@ -117,5 +120,5 @@
     assert len(halls) == 1
     site.submit("a-1/1", "wide", 6, 1, is_kept, template)
     site.run(800)
-    _assert_sound(site)
+    _assert_no_violations(site)
     _assert_completed(site, "wide", is_kept)
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -1,4 +1,8 @@
-"""Jobs whose tasks last, on a manual clock: at work until cancelled."""
+"""Long-running tasks, simulated with a manual clock.
+
+Such a task runs until its job is cancelled and is restarted whenever it ends.
+Guards against lost tasks, and tasks that are wrongly treated as hung.
+"""
 
 import msgspec
 import pytest
@@ -8,7 +12,7 @@
 from clayfield.wire.jobs import JobState, Verdict
 
 LONG_MS = 100_000
-LASTING = msgspec.structs.replace(USUAL_STEP, is_lasting=True)
+LONG_RUNNING_STEP = msgspec.structs.replace(USUAL_STEP, is_lasting=True)
 
 
 def _running(site, key):
@@ -18,11 +22,11 @@
 
 
 @pytest.mark.parametrize("is_failing", [True, False])
-def test_a_task_that_lasts_is_started_again_however_it_ends(is_failing):
+def test_long_running_task_is_restarted_after_success_or_failure(is_failing):
     site = granted_site(task_ms=300)
     for worker in site.workers.values():
         worker.is_failing = is_failing
-    site.submit("a-1/1", "job", 3, is_kept=True, template=LASTING)
+    site.submit("a-1/1", "job", 3, is_kept=True, template=LONG_RUNNING_STEP)
     site.run(4000)
     kind = EndKind.FAILED if is_failing else EndKind.DONE
     assert len(site.ends("job", kind)) >= 30
@@ -33,17 +37,17 @@
     assert site.faults() == []
 
 
-def test_a_task_that_lasts_is_never_taken_for_stuck():
+def test_long_running_task_is_never_treated_as_hung():
     site = granted_site(task_ms=LONG_MS)
-    site.submit("a-1/1", "job", 3, is_kept=True, template=LASTING)
+    site.submit("a-1/1", "job", 3, is_kept=True, template=LONG_RUNNING_STEP)
     site.run(20_000)
     assert len(site.ran) == 3
     assert len(_running(site, "job")) == 3
 
 
-def test_what_lasts_takes_its_places_from_the_forecast():
+def test_forecast_excludes_slots_of_long_running_tasks():
     site = granted_site(task_ms=LONG_MS)
-    site.submit("a-1/1", "job", 11, is_kept=True, template=LASTING)
+    site.submit("a-1/1", "job", 11, is_kept=True, template=LONG_RUNNING_STEP)
     site.run(100)
     for worker in site.workers.values():
         worker.task_ms = 60
@@ -57,9 +61,9 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_what_lasts_goes_on_under_a_new_holder(seed):
+def test_long_running_tasks_continue_under_a_new_holder(seed):
     site = granted_site(seed, task_ms=LONG_MS)
-    site.submit("b-1/1", "job", 5, is_kept=True, template=LASTING)
+    site.submit("b-1/1", "job", 5, is_kept=True, template=LONG_RUNNING_STEP)
     site.run(500 + seed)
     site.kill(HOLDER)
     if seed % 2:
@@ -69,13 +73,13 @@
     site.run(6000)
     assert site.faults() == []
     assert len(_running(site, "job")) == 5
-    lost = 1 + (seed % 2)
-    assert len(site.ran) <= 5 + 2 * lost
+    failures = 1 + (seed % 2)
+    assert len(site.ran) <= 5 + 2 * failures
 
 
-def test_what_lasts_ends_when_it_is_cancelled():
+def test_cancelled_long_running_job_stops():
     site = granted_site(task_ms=LONG_MS)
-    site.submit("b-1/1", "job", 5, is_kept=True, template=LASTING)
+    site.submit("b-1/1", "job", 5, is_kept=True, template=LONG_RUNNING_STEP)
     site.run(500)
     site.cancel("c-1/1", "job")
     site.run(300)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,8 @@
-"""Tasks that fill beside tasks that serve, on a manual clock."""
+"""Throttling of batch tasks, simulated with a manual clock.
+
+Guards against batch tasks that keep latency-sensitive tasks over their latency
+target, or that stay throttled without need.
+"""
 
 import msgspec
 import pytest
@@ -12,21 +16,25 @@
 
 LONG_MS = 1_000_000
 TARGET_MS = 100.0
-# So long a task may stay over its target through what fills beside it.
-HARM_MS = 4000
-SERVING = msgspec.structs.replace(
+# Longest time for which a tail latency may exceed its target.
+MAX_VIOLATION_MS = 4000
+LATENCY_STEP = msgspec.structs.replace(
     USUAL_STEP, is_lasting=True, target_ms=TARGET_MS
 )
-FILLING = msgspec.structs.replace(
+BATCH_STEP = msgspec.structs.replace(
     USUAL_STEP, is_lasting=True, fills=True, cpu=2 * PLACE_CPU
 )
 
 
-def _site(seed=1, serving=6, filling=12):
+def _site(seed=1, serving_count=6, batch_count=12):
     site = granted_site(seed, task_ms=LONG_MS)
-    site.submit("a-1/1", "serves", serving, is_kept=True, template=SERVING)
+    site.submit(
+        "a-1/1", "latency", serving_count, is_kept=True, template=LATENCY_STEP
+    )
     site.run(200)
-    site.submit("a-1/1", "fills", filling, is_kept=True, template=FILLING)
+    site.submit(
+        "a-1/1", "batch", batch_count, is_kept=True, template=BATCH_STEP
+    )
     site.run(200)
     return site
 
@@ -37,32 +45,37 @@
     ]
 
 
-def _pace(site):
-    return [ran.percent for ran in _running(site, "fills")]
+def _batch_percents(site):
+    return [ran.percent for ran in _running(site, "batch")]
+
 
+def _measure_violations(site, duration_ms):
+    """Measures how tail latencies exceed their target.
 
-def _harm(site, duration_ms):
-    """Returns how long at most, and how often, a tail is over the target."""
-    longest = 0
-    over = 0
-    since = dict.fromkeys(site.workers, 0)
+    Returns:
+        The longest violation on a worker, in ms, and the share of samples over
+        the target.
+    """
+    longest_ms = 0
+    samples_over = 0
+    violation_ms = dict.fromkeys(site.workers, 0)
     rounds = int(duration_ms // 100)
     for _ in range(rounds):
         site.run(100)
         for name, worker in site.workers.items():
             is_over = worker.tail_ms > TARGET_MS
-            since[name] = since[name] + 100 if is_over else 0
-            longest = max(longest, since[name])
-            over += is_over
-    return longest, over / (rounds * len(site.workers))
+            violation_ms[name] = violation_ms[name] + 100 if is_over else 0
+            longest_ms = max(longest_ms, violation_ms[name])
+            samples_over += is_over
+    return longest_ms, samples_over / (rounds * len(site.workers))
 
 
-def test_what_fills_takes_no_room_and_spreads_over_the_workers():
-    site = _site(serving=12, filling=12)
-    assert len(_running(site, "serves")) == 12
-    assert len(_running(site, "fills")) == 12
+def test_batch_tasks_reserve_no_capacity_and_spread_over_workers():
+    site = _site(serving_count=12, batch_count=12)
+    assert len(_running(site, "latency")) == 12
+    assert len(_running(site, "batch")) == 12
     by_worker = {}
-    for ran in _running(site, "fills"):
+    for ran in _running(site, "batch"):
         by_worker[ran.worker] = by_worker.get(ran.worker, 0) + 1
     assert set(by_worker.values()) == {2}
     site.submit("a-1/1", "job", 1)
@@ -71,44 +84,44 @@
 
 
 @pytest.mark.parametrize("disturb_ms", [20.0, 60.0, 200.0, 2000.0])
-def test_what_serves_is_not_over_its_target_for_long(disturb_ms):
-    site = _site(serving=12)
+def test_latency_target_is_exceeded_only_briefly(disturb_ms):
+    site = _site(serving_count=12)
     for worker in site.workers.values():
         worker.disturb_ms = disturb_ms
-    longest_ms, share = _harm(site, 30_000)
-    assert longest_ms < HARM_MS
+    longest_ms, share = _measure_violations(site, 30_000)
+    assert longest_ms < MAX_VIOLATION_MS
     assert share < 0.3
 
 
-def test_what_fills_gets_its_pace_back_when_it_disturbs_no_more():
-    site = _site(serving=12)
+def test_batch_tasks_regain_full_speed_once_they_cause_no_latency():
+    site = _site(serving_count=12)
     for worker in site.workers.values():
         worker.disturb_ms = 500.0
     site.run(5000)
-    assert max(_pace(site)) < 20
+    assert max(_batch_percents(site)) < 20
     for worker in site.workers.values():
         worker.disturb_ms = 1.0
     site.run(30_000)
-    assert set(_pace(site)) == {100}
+    assert set(_batch_percents(site)) == {100}
 
 
-def test_what_fills_is_let_be_where_nothing_serves():
+def test_batch_tasks_are_not_throttled_without_latency_sensitive_tasks():
     site = granted_site(task_ms=LONG_MS)
-    site.submit("a-1/1", "fills", 6, is_kept=True, template=FILLING)
+    site.submit("a-1/1", "batch", 6, is_kept=True, template=BATCH_STEP)
     for worker in site.workers.values():
         worker.disturb_ms = 500.0
     site.run(5000)
-    assert set(_pace(site)) == {100}
+    assert set(_batch_percents(site)) == {100}
 
 
-def test_a_new_holder_goes_on_from_the_pace_that_workers_tell():
-    site = _site(serving=12)
+def test_new_holder_continues_from_the_speeds_that_workers_report():
+    site = _site(serving_count=12)
     for worker in site.workers.values():
         worker.disturb_ms = 200.0
     site.run(5000)
     site.kill(HOLDER)
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
-    longest_ms, _ = _harm(site, 10_000)
-    assert longest_ms < HARM_MS
+    longest_ms, _ = _measure_violations(site, 10_000)
+    assert longest_ms < MAX_VIOLATION_MS
     assert site.faults() == []
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,8 @@
-"""The pool on a manual clock: what runs where, and what never runs twice."""
+"""Scheduling by a pool, simulated with a manual clock.
+
+Guards against tasks that run twice at once, jobs without a result, and tasks
+that are placed on full, hung or slow workers.
+"""
 
 import msgspec
 import pytest
@@ -17,7 +21,8 @@
     return granted_site(seed, workers, settle_ms=200)
 
 
-def _unguard(site):
+def _disable_capacity_checks(site):
+    """Makes workers accept starts when full, and varies task durations."""
     for worker in site.workers.values():
         worker.is_guarding = False
         worker.spread = 0.8
@@ -28,7 +33,7 @@
 
 
 @pytest.mark.parametrize("node", ["a-0/1", "a-1/1", "c-1/1"])
-def test_a_job_is_answered_whichever_entry_takes_it(node):
+def test_job_submitted_at_any_entry_node_completes(node):
     site = _site()
     site.submit(node, "job", count=4)
     site.run(100)
@@ -38,7 +43,7 @@
     assert len(site.ran) == 4
 
 
-def test_a_job_that_cannot_make_its_objective_is_refused_at_once():
+def test_job_that_cannot_meet_its_objective_is_refused_at_once():
     site = _site(workers=1)
     for number in range(3):
         site.submit("a-0/1", f"job-{number}", count=6)
@@ -50,7 +55,7 @@
     assert not [ran for ran in site.ran if ran.task_id.job == "job-2"]
 
 
-def test_the_same_job_at_two_entries_runs_once():
+def test_job_submitted_at_two_entry_nodes_runs_once():
     site = _site()
     site.submit("a-1/1", "job")
     site.submit("b-1/1", "job")
@@ -59,7 +64,7 @@
     assert len(site.ran) == 2
 
 
-def test_a_failed_task_is_tried_again_on_another_worker():
+def test_failed_task_is_retried_on_another_worker():
     site = _site()
     site.workers["worker-a-0"].is_failing = True
     site.submit("a-0/1", "job", count=6)
@@ -68,9 +73,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_orders_carried_out_late_never_run_a_task_twice(seed):
+def test_delayed_start_commands_never_run_a_task_twice_at_once(seed):
     site = _site(seed)
-    _unguard(site)
+    _disable_capacity_checks(site)
     for worker in site.workers.values():
         worker.late_share = 0.3
     for number in range(30):
@@ -84,9 +89,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_killed_holder_is_followed_without_a_task_run_twice(seed):
+def test_no_task_runs_twice_at_once_after_the_holder_was_killed(seed):
     site = _site(seed)
-    _unguard(site)
+    _disable_capacity_checks(site)
     for number in range(20):
         site.submit(f"{HALLS[number % 3]}-1/1", f"job-{number}", count=3)
         site.run(20)
@@ -99,43 +104,45 @@
     assert site.runs_together() == []
     assert site.over_room == []
     assert len(site.ended) == 20
-    late = [f"job-{number}" for number in range(13, 20)]
-    assert all(_verdicts(site)[key] is Verdict.COMPLETED for key in late)
+    later_keys = [f"job-{number}" for number in range(13, 20)]
+    assert all(_verdicts(site)[key] is Verdict.COMPLETED for key in later_keys)
 
 
-def _serve_through_a_cut(site, hall, cut_ms, heal_order):
+def _submit_through_partition(site, hall, partition_ms, heal_ms):
     keys = []
 
-    def serve(duration_ms):
+    def submit_for(duration_ms):
         for _ in range(int(duration_ms // 25)):
             key = f"job-{len(keys)}"
             keys.append(key)
             site.submit(f"{hall}-1/1", key, count=2)
             site.run(25)
 
-    serve(200)
+    submit_for(200)
     site.cut_off(hall)
-    serve(cut_ms)
+    submit_for(partition_ms)
     site.heal(hall)
-    serve(heal_order)
+    submit_for(heal_ms)
     site.grant(HOLDER, STANDBYS)
-    serve(600)
+    submit_for(600)
     site.run(6000)
     return keys
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("hall", ["b", "c"])
-def test_a_hall_that_was_cut_off_rejoins_without_a_task_run_twice(hall, seed):
+def test_no_task_runs_twice_at_once_after_a_partitioned_hall_rejoins(
+    hall, seed
+):
     site = _site(seed)
-    _unguard(site)
-    keys = _serve_through_a_cut(site, hall, 1500, 10 + 20 * seed)
+    _disable_capacity_checks(site)
+    keys = _submit_through_partition(site, hall, 1500, 10 + 20 * seed)
     assert site.runs_together() == []
     assert site.over_room == []
     assert set(site.ended) == set(keys)
 
 
-def test_a_hall_that_is_cut_off_is_served_by_its_standby():
+def test_standby_runs_jobs_of_a_partitioned_hall():
     site = _site()
     site.cut_off("b")
     site.run(600)
@@ -146,7 +153,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_standby_never_runs_what_the_holder_may_be_running(seed):
+def test_standby_starts_no_task_that_the_holder_may_be_running(seed):
     site = _site(seed)
     for worker in site.workers.values():
         worker.task_ms = 900.0
@@ -162,7 +169,7 @@
     assert "job" in site.ended
 
 
-def test_a_stopping_entry_refuses_new_jobs_and_answers_all_in_the_end():
+def test_stopping_entry_node_refuses_new_jobs_and_abandons_open_ones():
     site = _site()
     entry = site.entries["c-1/1"]
     for worker in site.workers.values():
@@ -178,20 +185,20 @@
     assert site.ended["open"][1].verdict is Verdict.ABANDONED
 
 
-def test_a_worker_on_which_tasks_stand_still_gets_nothing_new():
+def test_worker_with_hung_tasks_gets_few_new_tasks():
     site = _site()
-    bad = site.workers["worker-a-0"]
-    bad.is_hanging = True
+    hung = site.workers["worker-a-0"]
+    hung.is_hanging = True
     for number in range(40):
         site.submit("a-0/1", f"job-{number}", count=2)
         site.run(100)
-    started = [ran for ran in site.ran if ran.worker == bad.info.name]
+    started = [ran for ran in site.ran if ran.worker == hung.info.name]
     assert len(started) <= 8
     assert set(_verdicts(site).values()) == {Verdict.COMPLETED}
     assert site.runs_together() == []
 
 
-def test_a_task_that_stands_still_is_moved_and_its_job_ends():
+def test_hung_task_is_moved_and_its_job_completes():
     site = _site()
     for name in ("worker-a-0", "worker-b-1"):
         site.workers[name].is_hanging = True
@@ -201,7 +208,7 @@
     assert site.runs_together() == []
 
 
-def test_a_worker_that_turns_slow_comes_last():
+def test_slow_worker_is_rarely_selected():
     site = _site()
     slow = site.workers["worker-a-0"]
     slow.task_ms = 400.0
@@ -213,7 +220,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_new_holder_learns_of_workers_that_only_their_hall_knows(seed):
+def test_new_holder_takes_over_workers_known_only_to_their_hall(seed):
     site = _site(seed)
     for worker in site.workers.values():
         worker.task_ms = 300.0
@@ -234,7 +241,7 @@
     assert len(site.ended) == 10
 
 
-def test_a_worker_that_is_gone_is_forgotten_by_every_entry():
+def test_removed_worker_is_removed_at_every_entry_node():
     site = _site()
     site.workers["worker-c-1"].is_gone = True
     site.run(1500)
@@ -242,7 +249,7 @@
         assert "worker-c-1" not in entry.known_workers
 
 
-def test_workers_on_which_nothing_runs_are_held_seldom_where_there_are_many():
+def test_many_idle_workers_are_polled_rarely():
     site = _site(workers=100)
     site.run(4000)
     assert len(site.entries[HOLDER].dispatcher.fleet.workers) == 300
@@ -254,7 +261,7 @@
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
 
 
-def test_a_long_task_on_one_of_many_workers_keeps_its_lease():
+def test_lease_is_renewed_during_a_long_task_on_one_of_many_workers():
     site = _site(workers=100)
     site.run(4000)
     for worker in site.workers.values():
@@ -266,13 +273,13 @@
     assert len(site.ran) == 10
 
 
-def test_many_workers_are_adopted_some_at_a_time():
+def test_new_holder_limits_concurrent_polls_of_many_workers():
     site = _site(workers=100)
     site.kill(HOLDER)
     site.run(150)
     site.holds = 0
     site.grant("b-0/1", {"c": "c-0/1"})
-    # One or two ticks of the new holder, 64 workers in each.
+    # One or two ticks of the new holder, each with at most 64 polls.
     site.run(22)
     assert 0 < site.holds <= 128
     site.run(400)
--- a/tests/test_timed.py
+++ b/tests/test_timed.py
@@ -1,4 +1,7 @@
-"""Jobs that run at given times, on a manual clock."""
+"""Jobs with a schedule, simulated with a manual clock.
+
+Guards against iterations that start too early, are lost or run twice.
+"""
 
 import msgspec
 import pytest
@@ -28,11 +31,13 @@
 
 
 def _starts(site):
-    """Returns the earliest start of each time, by the steady clock."""
+    """Returns the earliest start of each iteration, on the monotonic clock."""
     starts = {}
     for ran in site.ran:
-        time = ran.task_id.time
-        starts[time] = min(starts.get(time, ran.start_ms), ran.start_ms)
+        iteration = ran.task_id.time
+        starts[iteration] = min(
+            starts.get(iteration, ran.start_ms), ran.start_ms
+        )
     return starts
 
 
@@ -42,12 +47,12 @@
     return site.states["job"]
 
 
-def _assert_sound(site):
+def _assert_no_violations(site):
     assert site.faults() == []
     assert site.started_after_done() == []
 
 
-def test_each_time_starts_when_it_is_due():
+def test_each_iteration_starts_when_it_is_due():
     site = _site()
     first_ms = _submit(site, steps=2)
     site.run(300)
@@ -56,15 +61,15 @@
     site.run(2500)
     assert _state(site) is JobState.RUNNING
     site.run(2000)
-    for time, start_ms in _starts(site).items():
-        due_ms = first_ms + time * INTERVAL_MS
+    for iteration, start_ms in _starts(site).items():
+        due_ms = first_ms + iteration * INTERVAL_MS
         assert due_ms <= start_ms <= due_ms + TICK_MS
     assert len(site.ends("job", EndKind.DONE)) == 16
     assert _state(site) is JobState.COMPLETED
-    _assert_sound(site)
+    _assert_no_violations(site)
 
 
-def test_times_may_overlap():
+def test_iterations_may_overlap():
     site = _site()
     for worker in site.workers.values():
         worker.task_ms = 2500
@@ -77,7 +82,7 @@
 
 
 @pytest.mark.parametrize("jump_ms", [-3000.0, 3000.0])
-def test_the_time_of_day_may_jump_and_return(jump_ms):
+def test_all_iterations_complete_if_the_wall_clock_jumps_and_returns(jump_ms):
     site = _site()
     first_ms = _submit(site)
     site.run(1000)
@@ -85,15 +90,17 @@
     site.run(1000)
     site.clock.wall_offset_ms -= jump_ms
     site.run(6000)
-    for time, start_ms in _starts(site).items():
-        assert start_ms >= first_ms + time * INTERVAL_MS - max(0.0, jump_ms)
+    for iteration, start_ms in _starts(site).items():
+        assert start_ms >= first_ms + iteration * INTERVAL_MS - max(
+            0.0, jump_ms
+        )
     assert len(site.ends("job", EndKind.DONE)) == 8
     assert _state(site) is JobState.COMPLETED
-    _assert_sound(site)
+    _assert_no_violations(site)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_new_holder_goes_on_with_the_times_that_are_left(seed):
+def test_new_holder_runs_the_remaining_iterations(seed):
     site = _site(seed)
     first_ms = _submit(site, steps=2)
     site.run(300 + 250 * seed)
@@ -101,15 +108,15 @@
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
     site.run(9000)
-    _assert_sound(site)
-    for time, start_ms in _starts(site).items():
-        assert start_ms >= first_ms + time * INTERVAL_MS
+    _assert_no_violations(site)
+    for iteration, start_ms in _starts(site).items():
+        assert start_ms >= first_ms + iteration * INTERVAL_MS
     done = {ran.task_id for ran in site.ends("job", EndKind.DONE)}
     assert len(done) == 16
     assert _state(site) is JobState.COMPLETED
 
 
-def test_a_cancel_ends_the_times_that_are_left():
+def test_cancelled_job_runs_no_further_iterations():
     site = _site()
     _submit(site)
     site.run(1000)
