--- a/packages/pool/src/clayfield/pool/fleet.py
+++ b/packages/pool/src/clayfield/pool/fleet.py
@@ -1,11 +1,11 @@
 """The workers that this node schedules, and the runs on them.
 
 The node is the holder, which schedules all workers, or the standby of a hall.
-It keeps one poll open to each worker: a request that renews the worker's
-lease, waits until a run ends, and returns the worker's running and ended runs.
-The runs that a worker lists are authoritative: a start without a reply may
-have been executed, so the run counts as started until the worker's list or
-its lease rules that out.
+It polls each worker by a request that renews the worker's lease, waits until a
+run ends, and returns the worker's running and ended runs. These lists determine
+the state of the runs. A start without a reply may still be executed, so its run
+keeps its resources reserved until the worker has confirmed a stop, lists the
+run as ended, or is removed.
 """
 
 import abc
--- a/packages/pool/src/clayfield/pool/worker.py
+++ b/packages/pool/src/clayfield/pool/worker.py
@@ -44,7 +44,8 @@
         is_adopted: whether the worker has accepted a poll of this holder,
             and no fencing error since; its runs are then known.
         is_gone: whether this incarnation has certainly ended.
-        is_reachable: whether the latest poll got a reply.
+        is_reachable: False after a poll without a reply or a command that
+            could not be sent, until a poll succeeds.
         unreachable_since_ms: time since which the worker is unreachable.
         last_poll: number of the latest poll.
         open_poll: number of the open poll, 0 if there is none.
