--- a/packages/pool/src/clayfield/pool/dispatcher.py
+++ b/packages/pool/src/clayfield/pool/dispatcher.py
@@ -1,4 +1,10 @@
-"""The holder's decisions: which task runs on which worker, in what order."""
+"""Scheduling by the holder: which task runs on which worker, and when.
+
+The holder is the entry node that schedules all workers under the current
+grant. Its `Dispatcher` admits the jobs that the entry nodes submit, places
+their tasks on workers and reports how each job ended. It does no I/O: it is
+fed events and a clock, and returns the actions to carry out.
+"""
 
 import math
 
@@ -11,9 +17,9 @@
     FleetListener,
     RunEnd,
 )
-from clayfield.pool.intake import LEAST_RETRY_MS, Intake
+from clayfield.pool.intake import MIN_RETRY_MS, Intake
 from clayfield.pool.jobtable import JobTable
-from clayfield.pool.kept import KeptJobs
+from clayfield.pool.kept import RUNS_AN_EPOCH, KeptJobs
 from clayfield.pool.ledger import JobLedger
 from clayfield.pool.orders import (
     Advice,
@@ -35,22 +41,26 @@
 from clayfield.wire.jobs import Reason, Verdict, WorkerInfo
 from clayfield.wire.messages import Message
 
-# How long the jobs of an earlier holder wait for the workers to be adopted.
-ADOPTION_MS = 1200.0
-# Answers that are kept for callers that ask again.
-KEPT_ANSWERS_MS = 20_000.0
-# After so many jobs without room for any task the rest waits for a change.
-MISSES_IN_A_ROW = 24
+# How long a job sent to an earlier holder waits until every worker was polled.
+SYNC_TIMEOUT_MS = 1200.0
+# How long results are stored for jobs that are submitted again.
+RESULT_RETENTION_MS = 20_000.0
+# Placement stops after this number of consecutive jobs of which no task fits;
+# it bounds the cost of one pass over a long queue.
+MAX_CONSECUTIVE_MISSES = 24
 
 
 class Dispatcher(FleetListener):
-    """Runs the jobs of all entries on the workers that this node holds.
+    """Schedules the jobs of all entry nodes on the workers of this node.
+
+    Jobs are identified by their idempotency key.
 
     Attributes:
-        fleet: the workers.
-        advisor: knows which workers may run advised jobs.
-        kept: the kept jobs; None for a stand-by, which runs none.
-        is_fenced: whether a worker obeys a higher fence than this holder's.
+        fleet: the workers and the runs on them.
+        advisor: tickets that permit workers to run advised jobs.
+        kept: the kept (durable) jobs; None on a standby, which runs none.
+        is_fenced: whether a worker has rejected a request because it has seen
+            a higher fencing token than this holder's.
     """
 
     def __init__(
@@ -61,14 +71,15 @@
         ledger: JobLedger | None = None,
         listened_since_ms: float = 0.0,
     ):
-        """Starts without workers and jobs.
+        """Creates a dispatcher without workers or jobs.
 
         Args:
-            clock: the time.
-            timing: the times that workers keep.
-            fence: goes with every order.
-            ledger: what is written of kept jobs; None for a stand-by.
-            listened_since_ms: since when this node has heard of workers.
+            clock: source of the current time.
+            timing: lease and stop durations of the workers.
+            fence: fencing token sent with every request to a worker.
+            ledger: client of the job store; None on a standby.
+            listened_since_ms: time since when this node has received the
+                heartbeats of workers, in ms.
         """
         self._clock = clock
         is_standby = ledger is None
@@ -97,18 +108,18 @@
                 self._finish,
                 listened_since_ms,
             )
-        self._unsettled: dict[str, tuple[float, OpenJob]] = {}
-        self._answers: dict[str, tuple[float, JobEnded]] = {}
+        self._unresolved: dict[str, tuple[float, OpenJob]] = {}
+        self._results: dict[str, tuple[float, JobEnded]] = {}
         self._is_changed = True
-        self._must_ask = False
+        self._must_poll = False
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs have not ended."""
+        """Number of jobs that have not ended."""
         return len(self._jobs.by_key)
 
     def take_actions(self) -> list[PoolAction]:
-        """Returns what is to be done since the last call."""
+        """Returns the actions collected since the last call."""
         actions = self.fleet.actions + self.advisor.actions
         self.fleet.actions.clear()
         self.advisor.actions.clear()
@@ -118,80 +129,84 @@
             self.kept.ledger.actions.clear()
         return actions
 
-    def _tell(self, entry: str, message: Message) -> None:
+    def _send(self, entry: str, message: Message) -> None:
         self.fleet.actions.append(TellEntry(entry, message))
 
     # Events.
 
     def on_worker(self, info: WorkerInfo) -> None:
-        """Takes a worker's statement."""
+        """Handles a worker's heartbeat."""
         self.fleet.on_worker(info)
         self._is_changed = True
 
     def on_submit(self, entry: str, submit: SubmitJob) -> None:
-        """Takes a job of an entry."""
+        """Handles a job submitted by an entry node.
+
+        A job that is open gets one more entry node to report to; a job that
+        ended recently gets its result again, unless it was refused.
+        """
         key = submit.job.key
         if submit.job.is_kept:
             self._on_submit_kept(entry, submit)
             return
-        known = self._jobs.by_key.get(key)
-        if known:
-            known.entries.add(entry)
+        existing = self._jobs.by_key.get(key)
+        if existing:
+            existing.entries.add(entry)
             return
-        answered = self._answers.get(key)
-        if answered and answered[1].verdict is not Verdict.REFUSED:
-            self._tell(entry, answered[1])
+        result = self._results.get(key)
+        if result and result[1].verdict is not Verdict.REFUSED:
+            self._send(entry, result[1])
             return
         arrived_ms = self._clock.now_ms() - submit.age_ms
-        first_run = 1 + (submit.epoch * 100 if submit.was_sent else 0)
-        opened = OpenJob(submit.job, entry, arrived_ms, first_run)
-        self._jobs.add(opened)
+        first_run = 1 + (submit.epoch * RUNS_AN_EPOCH if submit.was_sent else 0)
+        open_job = OpenJob(submit.job, entry, arrived_ms, first_run)
+        self._jobs.add(open_job)
         if submit.was_sent:
-            opened.late_at_ms = self._admission.late_at_ms(opened)
-            self._unsettled[key] = (self._clock.now_ms(), opened)
-            self._must_ask = True
-            opened.is_placeable = False
-        elif not self._intake.admit(opened):
+            open_job.late_at_ms = self._admission.late_at_ms(open_job)
+            self._unresolved[key] = (self._clock.now_ms(), open_job)
+            self._must_poll = True
+            open_job.is_placeable = False
+        elif not self._intake.admit(open_job):
             return
-        self._jobs.enqueue(opened)
+        self._jobs.enqueue(open_job)
 
     def _on_submit_kept(self, entry: str, submit: SubmitJob) -> None:
         if self.kept:
             self.kept.on_submit(entry, submit)
             return
         refused = JobEnded(
-            submit.job.key, Verdict.REFUSED, Reason.NO_HOLDER, LEAST_RETRY_MS
+            submit.job.key, Verdict.REFUSED, Reason.NO_HOLDER, MIN_RETRY_MS
         )
-        self._tell(entry, refused)
+        self._send(entry, refused)
 
     def on_cancel(self, entry: str, cancel: CancelJob) -> None:
-        """Takes the wish to end a job."""
-        opened = self._jobs.by_key.get(cancel.key)
-        if opened and not opened.job.is_kept:
-            self._finish(opened, Verdict.CANCELLED, Reason.CANCELLED)
+        """Handles a request to cancel a job."""
+        open_job = self._jobs.by_key.get(cancel.key)
+        if open_job and not open_job.job.is_kept:
+            self._finish(open_job, Verdict.CANCELLED, Reason.CANCELLED)
             if cancel.request:
-                self._tell(entry, JobCancelled(cancel.request, True))
+                self._send(entry, JobCancelled(cancel.request, True))
         elif self.kept:
             self.kept.on_cancel(entry, cancel)
         elif cancel.request:
-            self._tell(entry, JobCancelled(cancel.request, None))
+            self._send(entry, JobCancelled(cancel.request, None))
 
     def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
-        """Learns of the end of a run that an earlier holder began."""
+        """Handles the end of a run that an earlier holder started."""
         if self.kept:
             self.kept.on_foreign_end(row, worker)
         else:
             self.fleet.leave_to_holder(row, worker)
 
     def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
-        """Learns that a run has ended."""
+        """Handles the end of a run and updates its task and job."""
         self._is_changed = True
         task = run.task
         if task is None:
             return
         now_ms = self._clock.now_ms()
         if not task.step.is_lasting:
-            self._learn(run, end, worker, now_ms)
+            self._record_run(run, end, worker, now_ms)
         if task.run is not run:
             return
         task.run = None
@@ -199,7 +214,7 @@
         if task.job.is_ended:
             return
         if task.step.is_lasting:
-            self._start_again(task, worker)
+            self._restart(task, worker)
             return
         if end is not RunEnd.DONE:
             self._stop_all(task.job.runs_of_gang(task))
@@ -208,8 +223,8 @@
         elif task.state is not TaskState.DONE:
             self._apply_end(run, end, worker, now_ms)
 
-    def _start_again(self, task: Task, worker: Worker) -> None:
-        """Has a task that lasts run again, elsewhere if there is room."""
+    def _restart(self, task: Task, worker: Worker) -> None:
+        """Enqueues a long-running task again, on another worker if possible."""
         task.state = TaskState.WAITING
         task.avoided = {worker.name}
         self._jobs.enqueue(task.job)
@@ -217,70 +232,80 @@
     def _apply_end(
         self, run: Run, end: RunEnd, worker: Worker, now_ms: float
     ) -> None:
-        """Applies the end of a run to a task of a job that is not kept."""
+        """Updates a task of a job that is not kept after its run ended."""
         task = run.task
-        opened = task.job
+        open_job = task.job
         if end is RunEnd.DONE:
-            opened.note_done(task)
-            if opened.is_done:
-                self._admission.on_completed(opened, now_ms)
-                self._finish(opened, Verdict.COMPLETED, Reason.NONE)
+            open_job.note_done(task)
+            if open_job.is_done:
+                self._admission.on_completed(open_job, now_ms)
+                self._finish(open_job, Verdict.COMPLETED, Reason.NONE)
             else:
-                self._jobs.enqueue(opened)
+                self._jobs.enqueue(open_job)
             return
         if end is RunEnd.FAILED:
             task.avoided.add(worker.name)
-            counting = opened.note_failure(task, run.number)
-            if counting.failures >= opened.job.max_attempts:
-                self._finish(opened, Verdict.FAILED, Reason.ATTEMPTS)
+            counted_task = open_job.note_failure(task, run.number)
+            if counted_task.failures >= open_job.job.max_attempts:
+                self._finish(open_job, Verdict.FAILED, Reason.ATTEMPTS)
                 return
         task.state = TaskState.WAITING
-        self._jobs.enqueue(opened)
+        self._jobs.enqueue(open_job)
 
     def _stop_all(self, runs: list[Run]) -> None:
         for run in runs:
             if run.state in (RunState.STARTING, RunState.RUNNING):
                 self.fleet.stop(run)
 
-    def _learn(
+    def _record_run(
         self, run: Run, end: RunEnd, worker: Worker, now_ms: float
     ) -> None:
+        """Updates the worker's health and speed and the queue's estimates."""
         if end is RunEnd.FAILED:
             worker.on_failure(run.task_id.job, now_ms)
         if end is not RunEnd.DONE or run.answered_ms is None:
             return
-        took_ms = now_ms - run.answered_ms
-        worker.on_success(took_ms, run.work_ms)
+        duration_ms = now_ms - run.answered_ms
+        worker.on_success(duration_ms, run.work_ms)
         if run.is_stuck(now_ms):
-            # It tells of its worker, not of its queue.
+            # Its duration reflects a slow worker, not the tasks of its queue.
             return
-        run.task.job.note_run(run.task_id.step, took_ms * worker.speed)
+        run.task.job.note_run(run.task_id.step, duration_ms * worker.speed)
         self._admission.learn(
             run.task.job.job.queue,
             run.task.step.estimate_ms,
-            took_ms * worker.speed,
+            duration_ms * worker.speed,
         )
 
     def on_advice(self, call: int, advice: Advice) -> None:
-        """Takes the advisor's answer."""
+        """Handles the advisor's reply to a ticket request."""
         self.advisor.on_advice(call, advice)
         self._is_changed = True
 
     def on_ticket_rejected(self, run: Run, worker: Worker) -> None:
-        """Learns that a worker did not take the advisor's ticket."""
+        """Handles a worker's rejection of an advisor's ticket."""
         if run.task is not None:
             self.advisor.on_rejected(run.task, worker.name)
 
     def on_fenced(self, worker: Worker) -> None:
-        """Learns that a worker obeys a higher fence."""
+        """Handles a worker's rejection of this holder's fencing token."""
         self.is_fenced = True
 
     def follows(self, epoch: int) -> bool:
-        """Tells whether a grant's epoch is the next after this holder's."""
+        """Returns whether an epoch directly follows this holder's epoch.
+
+        If so, no other node was the holder in between. A standby returns
+        False.
+        """
         return self.kept is not None and self.kept.ledger.epoch + 1 == epoch
 
     def raise_fence(self, fence: int, epoch: int) -> None:
-        """Goes on under a higher fence of its own."""
+        """Continues under this node's next grant.
+
+        Args:
+            fence: the fencing token of the new grant.
+            epoch: the epoch of the new grant.
+        """
         self.fleet.fence = fence
         self.is_fenced = False
         if self.kept:
@@ -288,129 +313,139 @@
         for worker in self.fleet.workers.values():
             worker.next_hold_ms = self._clock.now_ms()
 
-    # Time.
+    # Periodic work.
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: polls, timeouts, stops and admission."""
         now_ms = self._clock.now_ms()
         if self.kept:
             self.fleet.confirmed_ms = self.kept.ledger.confirmed_ms
         self.fleet.tick()
-        self._settle(now_ms)
+        self._resolve_inherited(now_ms)
         if self.kept:
             self.kept.tick()
-        for opened in list(self._jobs.by_key.values()):
-            is_over = now_ms >= opened.timeout_at_ms
-            if is_over and not opened.job.is_kept:
-                self._give_up(opened, Reason.TIMED_OUT)
+        for open_job in list(self._jobs.by_key.values()):
+            has_timed_out = now_ms >= open_job.timeout_at_ms
+            if has_timed_out and not open_job.job.is_kept:
+                self._abort(open_job, Reason.TIMED_OUT)
         self._jobs.release_due(self._clock.wall_ms())
         self._jobs.turn_late(now_ms)
-        self._move_stuck(now_ms)
+        self._move_hung_runs(now_ms)
         self._intake.review()
-        for key, (answered_ms, _) in list(self._answers.items()):
-            if now_ms - answered_ms < KEPT_ANSWERS_MS:
+        for key, (ended_ms, _) in list(self._results.items()):
+            if now_ms - ended_ms < RESULT_RETENTION_MS:
                 break
-            del self._answers[key]
+            del self._results[key]
         self._is_changed = True
 
-    def _move_stuck(self, now_ms: float) -> None:
-        """Stops runs that stand still or crawl, once a task.
+    def _move_hung_runs(self, now_ms: float) -> None:
+        """Stops hung and very slow runs, at most once for each task.
 
-        The task is placed elsewhere when its worker has told that the run
-        ended.
+        The task is placed on another worker once its worker has reported the
+        end of the run.
         """
         for worker in self.fleet.workers.values():
             for run in worker.runs.values():
-                # A gang is as slow as its slowest task.
-                is_moved = (
+                # All runs of a gang are as slow as its slowest one, so their
+                # durations don't identify the slow worker.
+                is_exempt = (
                     run.task is None
                     or run.task.was_moved
                     or run.task.step.is_gang
                 )
-                is_under_way = run.state is RunState.RUNNING
-                if is_moved or not is_under_way or not run.is_stuck(now_ms):
+                is_running = run.state is RunState.RUNNING
+                if is_exempt or not is_running or not run.is_stuck(now_ms):
                     continue
                 run.task.was_moved = True
                 run.task.avoided.add(worker.name)
-                passed_ms = now_ms - run.answered_ms
-                worker.on_stuck(passed_ms, run.work_ms, now_ms)
+                elapsed_ms = now_ms - run.answered_ms
+                worker.on_stuck(elapsed_ms, run.work_ms, now_ms)
                 self.fleet.stop(run)
 
-    def _settle(self, now_ms: float) -> None:
-        """Finds what became of jobs that an earlier holder began."""
-        if not self._unsettled:
+    def _resolve_inherited(self, now_ms: float) -> None:
+        """Assigns inherited runs to jobs that an earlier holder was sent.
+
+        Each job waits until every worker was polled after the job arrived, and
+        is aborted if that takes longer than `SYNC_TIMEOUT_MS`.
+        """
+        if not self._unresolved:
             return
-        if self._must_ask:
-            self._must_ask = False
+        if self._must_poll:
+            self._must_poll = False
             self.fleet.ask_all()
-        for since_ms, opened in list(self._unsettled.values()):
+        for since_ms, open_job in list(self._unresolved.values()):
             if self.fleet.is_adopted_since(since_ms):
-                del self._unsettled[opened.job.key]
-                self._claim_runs(opened)
-            elif now_ms - since_ms >= ADOPTION_MS:
-                self._give_up(opened, Reason.HOLDER_LOST)
-
-    def _claim_runs(self, opened: OpenJob) -> None:
-        for task in opened.all_tasks():
+                del self._unresolved[open_job.job.key]
+                self._claim_runs(open_job)
+            elif now_ms - since_ms >= SYNC_TIMEOUT_MS:
+                self._abort(open_job, Reason.HOLDER_LOST)
+
+    def _claim_runs(self, open_job: OpenJob) -> None:
+        """Assigns to a job's tasks their inherited runs and recorded ends."""
+        for task in open_job.all_tasks():
             if self.fleet.claim(
-                task, self._admission.expected_ms(opened.job, task)
+                task, self._admission.expected_ms(open_job.job, task)
             ):
                 task.state = TaskState.PLACED
-                opened.is_offered = True
+                open_job.is_offered = True
             elif self.fleet.past_end(task.id) is EndKind.DONE:
                 task.state = TaskState.DONE
-        opened.is_placeable = True
-        self._stop_all(opened.partial_gangs())
-        if opened.is_done:
-            self._finish(opened, Verdict.COMPLETED, Reason.NONE)
+        open_job.is_placeable = True
+        self._stop_all(open_job.partial_gangs())
+        if open_job.is_done:
+            self._finish(open_job, Verdict.COMPLETED, Reason.NONE)
 
     # Placement.
 
     def place(self) -> None:
-        """Starts what can be started now."""
+        """Starts the waiting tasks that fit a worker now.
+
+        Does nothing unless an event since the last call may have freed
+        capacity or added tasks.
+        """
         if not self._is_changed and not self._jobs.is_changed:
             return
         self._is_changed = False
         self._jobs.is_changed = False
         now_ms = self._clock.now_ms()
         workers = self.fleet.workers.values()
-        room = RoomSearch(workers, self.advisor, now_ms)
+        selector = RoomSearch(workers, self.advisor, now_ms)
         misses = 0
-        for opened in self._jobs.waiting():
-            if not opened.is_placeable or not self._may_place(opened):
+        for open_job in self._jobs.waiting():
+            if not open_job.is_placeable or not self._may_place(open_job):
                 continue
-            misses = 0 if self._place_job(opened, room) else misses + 1
-            if misses >= MISSES_IN_A_ROW:
+            misses = 0 if self._place_job(open_job, selector) else misses + 1
+            if misses >= MAX_CONSECUTIVE_MISSES:
                 break
 
-    def _may_place(self, opened: OpenJob) -> bool:
-        return not opened.job.is_kept or self.kept.may_place(opened)
+    def _may_place(self, open_job: OpenJob) -> bool:
+        return not open_job.job.is_kept or self.kept.may_place(open_job)
 
-    def _place_job(self, opened: OpenJob, room: RoomSearch) -> bool:
-        """Starts tasks of a job; returns whether any was started."""
-        waiting = opened.waiting_steps()
+    def _place_job(self, open_job: OpenJob, selector: RoomSearch) -> bool:
+        """Starts the tasks of a job that fit; returns whether one started."""
+        steps = open_job.waiting_steps()
         started = 0
-        for tasks in waiting:
+        for tasks in steps:
             if tasks[0].step.is_gang:
-                started += self._place_gang(tasks, room)
+                started += self._place_gang(tasks, selector)
             else:
-                started += self._place_each(tasks, room)
-        if started == sum(len(tasks) for tasks in waiting):
-            self._jobs.dequeue(opened)
+                started += self._place_each(tasks, selector)
+        if started == sum(len(tasks) for tasks in steps):
+            self._jobs.dequeue(open_job)
         return started > 0
 
-    def _place_each(self, tasks: list[Task], room: RoomSearch) -> int:
+    def _place_each(self, tasks: list[Task], selector: RoomSearch) -> int:
         started = 0
         for task in tasks:
-            worker = room.find(task)
+            worker = selector.find(task)
             if worker is not None:
                 self._start(worker, task)
                 started += 1
         return started
 
-    def _place_gang(self, tasks: list[Task], room: RoomSearch) -> int:
-        """Starts all tasks of a gang under one run number, or none."""
-        workers = room.find_together(tasks)
+    def _place_gang(self, tasks: list[Task], selector: RoomSearch) -> int:
+        """Starts all tasks of a gang with the same run number, or none."""
+        workers = selector.find_together(tasks)
         if workers is None:
             return 0
         last_run = max(task.last_run for task in tasks)
@@ -420,72 +455,76 @@
         return len(tasks)
 
     def _start(self, worker: Worker, task: Task) -> None:
-        opened = task.job
-        expected_ms = self._admission.expected_ms(opened.job, task)
+        open_job = task.job
+        expected_ms = self._admission.expected_ms(open_job.job, task)
         ticket = ""
-        if opened.job.is_advised:
+        if open_job.job.is_advised:
             ticket = self.advisor.ticket(task, worker.name)
         self.fleet.start(worker, task, expected_ms, ticket)
         task.state = TaskState.PLACED
-        opened.is_offered = True
-        opened.starts += 1
-        opened.placed_on.add(worker.name)
+        open_job.is_offered = True
+        open_job.starts += 1
+        open_job.placed_on.add(worker.name)
 
-    # Ends.
+    # Ends of jobs.
 
     def _refuse(
-        self, opened: OpenJob, reason: Reason, retry_after_ms: float
+        self, open_job: OpenJob, reason: Reason, retry_after_ms: float
     ) -> None:
-        self._finish(opened, Verdict.REFUSED, reason, retry_after_ms)
+        self._finish(open_job, Verdict.REFUSED, reason, retry_after_ms)
 
-    def _give_up(self, opened: OpenJob, reason: Reason) -> None:
-        is_clean = not opened.is_offered and opened.job.key not in (
-            self._unsettled
+    def _abort(self, open_job: OpenJob, reason: Reason) -> None:
+        """Ends a job: refused if surely no task was started, else abandoned."""
+        is_unstarted = not open_job.is_offered and open_job.job.key not in (
+            self._unresolved
         )
-        verdict = Verdict.REFUSED if is_clean else Verdict.ABANDONED
-        self._finish(opened, verdict, reason, LEAST_RETRY_MS)
+        verdict = Verdict.REFUSED if is_unstarted else Verdict.ABANDONED
+        self._finish(open_job, verdict, reason, MIN_RETRY_MS)
 
     def _finish(
         self,
-        opened: OpenJob,
+        open_job: OpenJob,
         verdict: Verdict,
         reason: Reason,
         retry_after_ms: float = 0.0,
     ) -> None:
-        key = opened.job.key
-        opened.is_ended = True
+        """Removes an ended job, reports its end and stops its runs."""
+        key = open_job.job.key
+        open_job.is_ended = True
         self._jobs.remove(key)
-        self.advisor.forget(opened)
-        self._unsettled.pop(key, None)
-        self._log_end(opened, verdict, reason)
+        self.advisor.forget(open_job)
+        self._unresolved.pop(key, None)
+        self._log_end(open_job, verdict, reason)
         ended = JobEnded(key, verdict, reason, retry_after_ms)
-        if not opened.job.is_kept:
-            self._answers[key] = (self._clock.now_ms(), ended)
-        for entry in opened.entries:
-            self._tell(entry, ended)
-        for task in opened.all_tasks():
+        if not open_job.job.is_kept:
+            self._results[key] = (self._clock.now_ms(), ended)
+        for entry in open_job.entries:
+            self._send(entry, ended)
+        for task in open_job.all_tasks():
             if task.run and task.run.state is not RunState.DOUBTFUL:
                 self.fleet.stop(task.run)
 
     def _log_end(
-        self, opened: OpenJob, verdict: Verdict, reason: Reason
+        self, open_job: OpenJob, verdict: Verdict, reason: Reason
     ) -> None:
         emit(
             Event.JOB_ENDED,
-            job=opened.job.key,
-            queue=opened.job.queue,
+            job=open_job.job.key,
+            queue=open_job.job.queue,
             verdict=verdict.name.lower(),
             reason=reason.value,
-            age_ms=round(self._clock.now_ms() - opened.arrived_ms),
-            objective_ms=_whole(self._admission.objective_ms(opened.job)),
-            forecast_ms=_whole(opened.forecast_ms),
-            starts=opened.starts,
-            workers=sorted(opened.placed_on),
+            age_ms=round(self._clock.now_ms() - open_job.arrived_ms),
+            objective_ms=_round_finite(
+                self._admission.objective_ms(open_job.job)
+            ),
+            forecast_ms=_round_finite(open_job.forecast_ms),
+            starts=open_job.starts,
+            workers=sorted(open_job.placed_on),
             open_jobs=len(self._jobs.by_key),
             fence=self.fleet.fence,
         )
 
 
-def _whole(time_ms: float) -> int | None:
-    """Returns a time as it is logged, None for one without an end."""
+def _round_finite(time_ms: float) -> int | None:
+    """Returns a duration rounded for the log, None if it is infinite."""
     return round(time_ms) if math.isfinite(time_ms) else None
--- a/packages/pool/src/clayfield/pool/intake.py
+++ b/packages/pool/src/clayfield/pool/intake.py
@@ -1,4 +1,9 @@
-"""Which jobs the holder takes, and which it refuses while that is free."""
+"""Admission decisions: which jobs the holder accepts and which it refuses.
+
+A job may be refused early in its life at no cost, since its caller still has
+time to try elsewhere. Later, or once a task of it was started, it runs on even
+if it will end late.
+"""
 
 from collections.abc import Callable
 
@@ -12,17 +17,18 @@
 from clayfield.pool.tasks import OpenJob
 from clayfield.wire.jobs import Job, Reason
 
-# A job may be refused for free until it has waited for this part of its
+# A job may be refused at no cost until it has waited for this share of its
 # objective.
 FREE_REFUSAL_SHARE = 0.2
-LEAST_RETRY_MS = 50.0
-LONGEST_RETRY_MS = 10_000.0
+# Bounds of the time after which a caller is asked to retry.
+MIN_RETRY_MS = 50.0
+MAX_RETRY_MS = 10_000.0
 
 Refuse = Callable[[OpenJob, Reason, float], None]
 
 
 class Intake:
-    """Decides on new jobs, and again on those of which nothing has begun."""
+    """Admits or refuses new jobs, and reviews those with no task started."""
 
     def __init__(
         self,
@@ -33,15 +39,16 @@
         advisor: Advisor,
         refuse: Refuse,
     ):
-        """Starts.
+        """Creates the admission decisions of one holder.
 
         Args:
-            clock: the time.
+            clock: source of the current time.
             fleet: the workers.
             jobs: the open jobs.
-            admission: forecasts when a job would end.
-            advisor: knows which workers may run advised jobs.
-            refuse: ends a job, with the reason and when to come back, in ms.
+            admission: objectives and forecasts of jobs.
+            advisor: tickets that permit workers to run advised jobs.
+            refuse: ends a job with a reason and the time after which to
+                retry, in ms.
         """
         self._clock = clock
         self._fleet = fleet
@@ -50,32 +57,42 @@
         self._advisor = advisor
         self._refuse = refuse
 
-    def admit(self, opened: OpenJob) -> bool:
-        """Tells whether a new job can be ended in time; if not, refuses it."""
-        if not self._could_run(opened.job):
-            self._refuse(opened, Reason.NO_WORKER, LEAST_RETRY_MS)
+    def admit(self, open_job: OpenJob) -> bool:
+        """Returns whether a new job can end in time; refuses it if not.
+
+        Long-running and scheduled jobs are admitted if a worker is large
+        enough for them.
+        """
+        if not self._could_run(open_job.job):
+            self._refuse(open_job, Reason.NO_WORKER, MIN_RETRY_MS)
             return False
         now_ms = self._clock.now_ms()
-        opened.late_at_ms = self._admission.late_at_ms(opened)
-        if opened.is_lasting or opened.job.schedule:
+        open_job.late_at_ms = self._admission.late_at_ms(open_job)
+        if open_job.is_lasting or open_job.job.schedule:
             return True
-        if not self._jobs.has_waiting and self._has_room(opened.job, now_ms):
+        if not self._jobs.has_waiting and self._has_capacity(
+            open_job.job, now_ms
+        ):
             return True
-        return self._ends_in_time(opened, now_ms)
+        return self._can_end_in_time(open_job, now_ms)
 
-    def _ends_in_time(self, opened: OpenJob, now_ms: float) -> bool:
+    def _can_end_in_time(self, open_job: OpenJob, now_ms: float) -> bool:
+        """Returns whether a job is forecast to end in time; else refuses it."""
         forecast = self._forecast(now_ms)
         if not forecast.has_places:
             return True
-        is_late = now_ms > opened.late_at_ms
+        is_late = now_ms > open_job.late_at_ms
         for other in self._jobs.in_turn():
-            is_before = is_late or other.turn <= opened.turn
-            if other is not opened and is_before:
+            is_before = is_late or other.turn <= open_job.turn
+            if other is not open_job and is_before:
                 self._admission.add_to(forecast, other, now_ms)
-        return not self._is_refused(opened, forecast, now_ms)
+        return not self._is_refused(open_job, forecast, now_ms)
 
     def _could_run(self, job: Job) -> bool:
-        """Tells whether each step would fit a worker on which nothing runs."""
+        """Returns whether each step would fit some worker if that was idle.
+
+        Also true while no worker of the job's service is known.
+        """
         workers = [
             worker
             for worker in self._fleet.workers.values()
@@ -88,10 +105,10 @@
             for step in job.steps
         )
 
-    def _has_room(self, job: Job, now_ms: float) -> bool:
-        """Tells whether all tasks of a job would find room at once.
+    def _has_capacity(self, job: Job, now_ms: float) -> bool:
+        """Returns whether free capacity suffices for all tasks of a job.
 
-        Asked only where there are so many workers that a forecast is dear.
+        Checked only with many workers, where it saves a costly forecast.
         """
         workers = self._fleet.workers.values()
         if len(workers) <= MANY_WORKERS:
@@ -104,38 +121,43 @@
         )
 
     def _is_refused(
-        self, opened: OpenJob, forecast: Forecast, now_ms: float
+        self, open_job: OpenJob, forecast: Forecast, now_ms: float
     ) -> bool:
-        """Refuses a job that would end late, while that is free.
+        """Refuses a job that would end late, if it still may be refused.
+
+        Adds the job to the forecast.
 
         Args:
-            opened: a job of which nothing was started.
-            forecast: the places, with all that goes before it.
-            now_ms: the time.
+            open_job: a job with no task started.
+            forecast: the slots, with the work that goes before the job.
+            now_ms: the current time, in ms.
+
+        Returns:
+            Whether the job was refused.
         """
-        end_ms = self._admission.add_to(forecast, opened, now_ms)
-        age_ms = now_ms - opened.arrived_ms
-        opened.forecast_ms = age_ms + end_ms + OVERHEAD_MS
-        objective_ms = self._admission.objective_ms(opened.job)
-        is_free = age_ms <= objective_ms * FREE_REFUSAL_SHARE
-        allowed_ms = self._admission.allowed_ms(opened.job, now_ms)
-        if opened.forecast_ms <= allowed_ms or not is_free:
+        end_ms = self._admission.add_to(forecast, open_job, now_ms)
+        age_ms = now_ms - open_job.arrived_ms
+        open_job.forecast_ms = age_ms + end_ms + OVERHEAD_MS
+        objective_ms = self._admission.objective_ms(open_job.job)
+        may_refuse = age_ms <= objective_ms * FREE_REFUSAL_SHARE
+        allowed_ms = self._admission.allowed_ms(open_job.job, now_ms)
+        if open_job.forecast_ms <= allowed_ms or not may_refuse:
             return False
-        retry_ms = min(LONGEST_RETRY_MS, max(LEAST_RETRY_MS, end_ms))
-        self._refuse(opened, Reason.TOO_LATE, retry_ms)
+        retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, end_ms))
+        self._refuse(open_job, Reason.TOO_LATE, retry_ms)
         return True
 
     def review(self) -> None:
-        """Refuses waiting jobs that will be late, while that is free."""
+        """Refuses waiting jobs that will end late and still may be refused."""
         if not self._jobs.has_waiting:
             return
         now_ms = self._clock.now_ms()
         forecast = self._forecast(now_ms)
         if not forecast.has_places:
             return
-        for opened in self._jobs.in_turn():
-            is_taken = opened.is_offered or opened.job.is_kept
-            if is_taken or not opened.is_placeable:
-                self._admission.add_to(forecast, opened, now_ms)
+        for open_job in self._jobs.in_turn():
+            is_committed = open_job.is_offered or open_job.job.is_kept
+            if is_committed or not open_job.is_placeable:
+                self._admission.add_to(forecast, open_job, now_ms)
             else:
-                self._is_refused(opened, forecast, now_ms)
+                self._is_refused(open_job, forecast, now_ms)
--- a/packages/pool/src/clayfield/pool/kept.py
+++ b/packages/pool/src/clayfield/pool/kept.py
@@ -1,10 +1,13 @@
-"""Kept jobs at the holder: accepted, followed and ended by stored records.
+"""Kept jobs at the holder: acceptance, ends of runs, takeover and queries.
 
-A job's tasks are placed once its acceptance is stored. The end of a run is
-written before its worker may forget it, and a job counts as ended only once
-that is stored. A new holder loads the jobs of the one before; their tasks run
-on where workers list them, and start anew only when no worker can be running
-them any more.
+A kept job is durable: once its acceptance is on disk at a majority of the
+control nodes, it runs to its end, whichever node is the holder. Its tasks are
+placed only after that. The end of a run is stored before its worker may
+discard it, and a job has ended only once the ends of its runs are stored.
+
+A new holder loads the open jobs from the job store, which the control nodes
+replicate. Runs that workers still list are assigned to their tasks; any other
+task starts again only when no worker can still be running it.
 """
 
 from collections.abc import Callable
@@ -39,19 +42,20 @@
 )
 from clayfield.wire.messages import Message
 
-# Open kept jobs beyond which more are refused; bounds memory and disk.
-MAX_OPEN = 2000
+# Above this number of open jobs more are refused; bounds memory and disk.
+MAX_OPEN_JOBS = 2000
+# When the caller of a refused job may try again.
 RETRY_MS = 500.0
-# A node that has listened for so long has heard of every live worker.
-LISTENED_MS = 3500.0
-# How long the answer about a running job waits for its end.
-STATE_WAIT_MS = 100.0
-# Ended jobs are remembered for longer than the record keeps them.
-REMEMBER_MARGIN_MS = 30_000.0
-# Of the runs of one holder, numbers below those of the next.
+# Within this time a node receives a heartbeat of every live worker.
+DISCOVERY_MS = 3500.0
+# How long the reply about a running job is delayed in case the job ends.
+STATE_REPLY_DELAY_MS = 100.0
+# How much longer ended jobs are retained here than in the job store.
+RETENTION_MARGIN_MS = 30_000.0
+# Run numbers per epoch, so that those of a later holder are higher.
 RUNS_AN_EPOCH = 100
-# What stopping and withholding leases may take beyond their own times.
-MARGIN_MS = 100.0
+# Allowance for delays in stopping runs and withholding leases.
+HANDOVER_MARGIN_MS = 100.0
 
 _VERDICTS = {
     JobState.COMPLETED: Verdict.COMPLETED,
@@ -67,22 +71,31 @@
 Admit = Callable[[OpenJob], bool]
 
 
-class _Question:
-    """An entry's question about a running job."""
+class _StateRequest:
+    """An entry node's request for the state of a job.
+
+    Attributes:
+        entry: the entry node.
+        message: the request as it was received.
+        received_ms: time of its arrival, in ms.
+    """
 
-    __slots__ = ("ask", "asked_ms", "entry")
+    __slots__ = ("entry", "message", "received_ms")
 
-    def __init__(self, entry: str, ask: AskState, asked_ms: float):
+    def __init__(self, entry: str, message: AskState, received_ms: float):
         self.entry = entry
-        self.ask = ask
-        self.asked_ms = asked_ms
+        self.message = message
+        self.received_ms = received_ms
 
 
 class KeptJobs:
-    """The kept jobs of one holder.
+    """Manages the kept jobs of one holder.
+
+    The holder has *authority* while no other node can be the holder. Without
+    it, no tasks of kept jobs are placed and their runs are stopped.
 
     Attributes:
-        ledger: what is written of them.
+        ledger: client of the job store.
     """
 
     def __init__(
@@ -96,17 +109,19 @@
         finish: Finish,
         listened_since_ms: float,
     ):
-        """Starts without jobs; they come when the ledger has loaded them.
+        """Creates a manager without jobs; the open ones are loaded later.
 
         Args:
-            clock: the time.
-            ledger: what is written of them.
+            clock: source of the current time.
+            ledger: client of the job store.
             fleet: the workers.
             jobs: all open jobs, kept or not.
-            admission: knows how long they may take.
-            admit: tells whether a new job is taken; else refuses it.
-            finish: ends an open job.
-            listened_since_ms: since when this node has heard of workers.
+            admission: expected durations and objectives of jobs.
+            admit: returns whether a new job is admitted; refuses it if not.
+            finish: ends an open job with a verdict, a reason and the time
+                after which to retry, in ms.
+            listened_since_ms: time since when this node has received the
+                heartbeats of workers, in ms.
         """
         self.ledger = ledger
         self._clock = clock
@@ -116,152 +131,164 @@
         self._admit = admit
         self._finish = finish
         self._listened_since_ms = listened_since_ms
-        self._began_ms = clock.now_ms()
+        self._created_ms = clock.now_ms()
         self._loaded_ms = 0.0
-        self._states: dict[str, tuple[float, JobState]] = {}
-        self._early_submits: list[tuple[str, SubmitJob]] = []
-        self._early_ends: list[tuple[EndedRow, Worker]] = []
-        self._unsettled: dict[str, OpenJob] = {}
+        self._outcomes: dict[str, tuple[float, JobState]] = {}
+        self._deferred_submits: list[tuple[str, SubmitJob]] = []
+        self._deferred_ends: list[tuple[EndedRow, Worker]] = []
+        self._unresolved: dict[str, OpenJob] = {}
         self._cancels: dict[str, list[tuple[str, int]]] = {}
-        self._questions: dict[str, list[_Question]] = {}
+        self._state_requests: dict[str, list[_StateRequest]] = {}
         self._had_authority = False
-        self._lost_ms = 0.0
+        self._authority_changed_ms = 0.0
 
-    # Callers.
+    # Requests of entry nodes.
 
     def on_submit(self, entry: str, submit: SubmitJob) -> None:
-        """Takes a job of an entry; it is told once the job is stored."""
+        """Handles a job submitted by an entry node.
+
+        The entry node gets `Verdict.ACCEPTED` once the acceptance is stored.
+        """
         key = submit.job.key
-        known = self._jobs.by_key.get(key)
-        if known and not known.is_stored:
-            known.entries.add(entry)
-        elif known or key in self._states:
-            self._tell(entry, JobEnded(key, Verdict.ACCEPTED, Reason.NONE, 0.0))
+        existing = self._jobs.by_key.get(key)
+        if existing and not existing.is_stored:
+            existing.entries.add(entry)
+        elif existing or key in self._outcomes:
+            self._send(entry, JobEnded(key, Verdict.ACCEPTED, Reason.NONE, 0.0))
         elif self.ledger.is_loaded:
             self._accept(entry, submit)
         else:
-            self._await_loading(entry, submit)
+            self._defer_submit(entry, submit)
 
-    def _await_loading(self, entry: str, submit: SubmitJob) -> None:
-        """Has a job wait until it is known whether it is kept already.
+    def _defer_submit(self, entry: str, submit: SubmitJob) -> None:
+        """Defers a job until the stored jobs are loaded.
 
-        One that no other holder was handed is refused where that takes long.
+        It may be among them. A job that was never sent to another holder is
+        refused if loading takes long.
         """
-        waited_ms = self._clock.now_ms() - self._began_ms
+        waited_ms = self._clock.now_ms() - self._created_ms
         is_slow = waited_ms > AUTHORITY_MS
-        is_full = len(self._early_submits) >= MAX_OPEN
+        is_full = len(self._deferred_submits) >= MAX_OPEN_JOBS
         if (is_slow or is_full) and not submit.was_sent:
             self._refuse(entry, submit.job.key, Reason.NOT_STORED)
         elif not is_full:
-            self._early_submits.append((entry, submit))
+            self._deferred_submits.append((entry, submit))
 
     def _accept(self, entry: str, submit: SubmitJob) -> None:
         job = submit.job
         if not self.ledger.has_authority:
             self._refuse(entry, job.key, Reason.NOT_STORED)
             return
-        if len(self._jobs.by_key) >= MAX_OPEN:
+        if len(self._jobs.by_key) >= MAX_OPEN_JOBS:
             self._refuse(entry, job.key, Reason.TOO_MANY)
             return
         arrived_ms = self._clock.now_ms() - submit.age_ms
-        opened = OpenJob(job, entry, arrived_ms, 1)
-        opened.is_placeable = False
-        self._jobs.add(opened)
-        if self._admit(opened):
+        open_job = OpenJob(job, entry, arrived_ms, 1)
+        open_job.is_placeable = False
+        self._jobs.add(open_job)
+        if self._admit(open_job):
             self.ledger.write(StoredChange(AcceptJob(job)))
 
     def _refuse(self, entry: str, key: str, reason: Reason) -> None:
-        self._tell(entry, JobEnded(key, Verdict.REFUSED, reason, RETRY_MS))
+        self._send(entry, JobEnded(key, Verdict.REFUSED, reason, RETRY_MS))
 
     def on_cancel(self, entry: str, cancel: CancelJob) -> None:
-        """Takes the wish to cancel a job that is not known as another sort."""
+        """Handles a request to cancel a job that is kept or not known.
+
+        Replies once the cancellation is stored.
+        """
         key = cancel.key
-        opened = self._jobs.by_key.get(key)
-        if opened is None:
-            self._answer_cancel(entry, cancel)
-        elif opened.outcome is JobState.CANCELLED:
+        open_job = self._jobs.by_key.get(key)
+        if open_job is None:
+            self._reply_to_cancel(entry, cancel)
+        elif open_job.outcome is JobState.CANCELLED:
             self._cancels[key].append((entry, cancel.request))
-        elif opened.outcome is not None:
-            self._tell(entry, JobCancelled(cancel.request, True))
+        elif open_job.outcome is not None:
+            self._send(entry, JobCancelled(cancel.request, True))
         else:
-            opened.outcome = JobState.CANCELLED
+            open_job.outcome = JobState.CANCELLED
             self._cancels[key] = [(entry, cancel.request)]
             self.ledger.write(StoredChange(CancelAccepted(key)))
 
-    def _answer_cancel(self, entry: str, cancel: CancelJob) -> None:
-        is_known = cancel.key in self._states
-        is_sure = is_known or self._is_sure
-        answer = JobCancelled(cancel.request, is_known if is_sure else None)
-        self._tell(entry, answer)
+    def _reply_to_cancel(self, entry: str, cancel: CancelJob) -> None:
+        """Replies to a request to cancel a job that is not open."""
+        is_known = cancel.key in self._outcomes
+        is_authoritative = is_known or self._is_authoritative
+        reply = JobCancelled(
+            cancel.request, is_known if is_authoritative else None
+        )
+        self._send(entry, reply)
 
-    def on_ask(self, entry: str, ask: AskState) -> None:
-        """Tells an entry where a job stands.
+    def on_ask(self, entry: str, message: AskState) -> None:
+        """Handles an entry node's request for the state of a job.
 
-        Callers ask when they think that a job has just ended, so the answer
-        about one that is running waits a little for its end.
+        Callers usually poll at about the time when a job ends, so the reply
+        for a running job is delayed a little in case it ends meanwhile.
         """
-        question = _Question(entry, ask, self._clock.now_ms())
-        if self._state_of(ask.key) is JobState.RUNNING:
-            self._questions.setdefault(ask.key, []).append(question)
+        pending = _StateRequest(entry, message, self._clock.now_ms())
+        if self._state_of(message.key) is JobState.RUNNING:
+            self._state_requests.setdefault(message.key, []).append(pending)
         else:
-            self._answer(question)
-
-    def _answer(self, question: _Question) -> None:
-        ask = question.ask
-        state = self._state_of(ask.key)
-        is_sure = state is not None or self._is_sure
-        self._tell(question.entry, StateTold(ask.request, state, is_sure))
-
-    def _answer_waiting(self, now_ms: float) -> None:
-        """Answers the questions that have waited long enough."""
-        for key, questions in list(self._questions.items()):
-            while questions:
-                if now_ms - questions[0].asked_ms < STATE_WAIT_MS:
+            self._reply(pending)
+
+    def _reply(self, pending: _StateRequest) -> None:
+        message = pending.message
+        state = self._state_of(message.key)
+        is_authoritative = state is not None or self._is_authoritative
+        self._send(
+            pending.entry, StateTold(message.request, state, is_authoritative)
+        )
+
+    def _reply_overdue(self, now_ms: float) -> None:
+        """Replies to the state requests whose delay is over."""
+        for key, requests in list(self._state_requests.items()):
+            while requests:
+                if now_ms - requests[0].received_ms < STATE_REPLY_DELAY_MS:
                     break
-                self._answer(questions.pop(0))
-            if not questions:
-                del self._questions[key]
+                self._reply(requests.pop(0))
+            if not requests:
+                del self._state_requests[key]
 
     def _state_of(self, key: str) -> JobState | None:
-        opened = self._jobs.by_key.get(key)
-        if opened is not None and opened.job.is_kept:
-            return JobState.RUNNING if opened.is_offered else JobState.QUEUED
-        ended = self._states.get(key)
+        open_job = self._jobs.by_key.get(key)
+        if open_job is not None and open_job.job.is_kept:
+            return JobState.RUNNING if open_job.is_offered else JobState.QUEUED
+        ended = self._outcomes.get(key)
         return ended[1] if ended else None
 
     @property
-    def _is_sure(self) -> bool:
-        """Whether a job that is not known here does not exist."""
+    def _is_authoritative(self) -> bool:
+        """Whether a job that is not known here certainly does not exist."""
         return self.ledger.is_loaded and self.ledger.has_authority
 
     @property
     def is_used(self) -> bool:
-        """Whether there are kept jobs, or were some of late."""
-        return bool(self._states) or bool(self._jobs.kept())
+        """Whether any kept job is open or ended recently."""
+        return bool(self._outcomes) or bool(self._jobs.kept())
 
     def waiting(self) -> dict[str, int]:
-        """Returns how many jobs of each queue have not begun."""
+        """Returns by queue the number of stored jobs with no task started."""
         counts: dict[str, int] = {}
-        for opened in self._jobs.kept():
-            if opened.is_stored and not opened.is_offered:
-                queue = opened.job.queue
+        for open_job in self._jobs.kept():
+            if open_job.is_stored and not open_job.is_offered:
+                queue = open_job.job.queue
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
-    def _tell(self, entry: str, message: Message) -> None:
+    def _send(self, entry: str, message: Message) -> None:
         self.ledger.actions.append(TellEntry(entry, message))
 
     # Ends of runs.
 
     def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
-        """Learns that a run of a kept job's task has ended."""
+        """Handles the end of a run of a kept job's task."""
         if run.task.state is TaskState.DONE:
             return
         if end is RunEnd.LOST:
             run.task.state = TaskState.WAITING
             self._jobs.enqueue(run.task.job)
             return
-        self._note_end(
+        self._record_end(
             run.task,
             run.number,
             end is RunEnd.DONE,
@@ -269,242 +296,270 @@
             run.end_sequence,
         )
 
-    def _note_end(
-        self, task: Task, number: int, is_done: bool, worker: Worker, at: int
+    def _record_end(
+        self,
+        task: Task,
+        number: int,
+        is_done: bool,
+        worker: Worker,
+        sequence: int,
     ) -> None:
-        opened = task.job
+        """Applies the end of a run to its task and writes it to the job store.
+
+        Args:
+            task: the task.
+            number: the number of the run.
+            is_done: whether it succeeded; it failed otherwise.
+            worker: the worker that reported the end.
+            sequence: the worker's number of the end, 0 if it lists none.
+        """
+        open_job = task.job
         if is_done:
-            counting = opened.note_done(task)
+            counted_tasks = open_job.note_done(task)
         else:
             task.state = TaskState.WAITING
             task.avoided.add(worker.name)
-            counting = [opened.note_failure(task, number)]
-        if at:
-            # An order that the worker rejected is not among its ends.
-            worker.await_storing(at)
-        for one in counting:
+            counted_tasks = [open_job.note_failure(task, number)]
+        if sequence:
+            # A rejected start request has no entry in the worker's list.
+            worker.await_storing(sequence)
+        for counted in counted_tasks:
             change = EndTask(
-                one.id.job,
-                one.id.step,
-                one.id.index,
+                counted.id.job,
+                counted.id.step,
+                counted.id.index,
                 number,
                 is_done,
-                one.id.time,
+                counted.id.time,
             )
-            opened.unstored_ends += 1
-            self.ledger.write(StoredChange(change, worker.name, at))
-        self._decide_outcome(opened, counting)
-        if opened.outcome is None:
-            self._jobs.enqueue(opened)
-
-    def _decide_outcome(self, opened: OpenJob, counting: list[Task]) -> None:
-        if opened.outcome is not None:
+            open_job.unstored_ends += 1
+            self.ledger.write(StoredChange(change, worker.name, sequence))
+        self._decide_outcome(open_job, counted_tasks)
+        if open_job.outcome is None:
+            self._jobs.enqueue(open_job)
+
+    def _decide_outcome(
+        self, open_job: OpenJob, counted_tasks: list[Task]
+    ) -> None:
+        if open_job.outcome is not None:
             return
-        attempts = max(task.failures for task in counting)
-        if opened.is_done:
-            opened.outcome = JobState.COMPLETED
-        elif attempts >= opened.job.max_attempts:
-            opened.outcome = JobState.FAILED
+        failure_count = max(task.failures for task in counted_tasks)
+        if open_job.is_done:
+            open_job.outcome = JobState.COMPLETED
+        elif failure_count >= open_job.job.max_attempts:
+            open_job.outcome = JobState.FAILED
 
     def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
-        """Learns of the end of a run that an earlier holder began."""
+        """Handles the end of a run that an earlier holder started."""
         if self.ledger.is_loaded:
-            self._take_foreign_end(row, worker)
+            self._apply_inherited_end(row, worker)
             return
         worker.await_storing(row.sequence)
-        self._early_ends.append((row, worker))
+        self._deferred_ends.append((row, worker))
 
-    def _take_foreign_end(self, row: EndedRow, worker: Worker) -> None:
-        opened = self._jobs.by_key.get(row.task_id.job)
-        if opened is None or not opened.job.is_kept:
+    def _apply_inherited_end(self, row: EndedRow, worker: Worker) -> None:
+        open_job = self._jobs.by_key.get(row.task_id.job)
+        if open_job is None or not open_job.job.is_kept:
             worker.on_stored(row.sequence)
             return
-        task = opened.task_of(row.task_id)
+        task = open_job.task_of(row.task_id)
         is_over = task.state is TaskState.DONE or task.step.is_lasting
         if is_over or task.run is not None:
             worker.on_stored(row.sequence)
             return
-        opened.is_offered = True
+        open_job.is_offered = True
         is_done = row.kind is EndKind.DONE
-        self._note_end(task, row.number, is_done, worker, row.sequence)
+        self._record_end(task, row.number, is_done, worker, row.sequence)
 
-    # What the leader tells.
+    # Messages of the control log's leader.
 
     def on_lease(self, node: str, lease: HolderLease) -> None:
-        """Learns that a leader took this node for the holder."""
+        """Handles a leader's confirmation that this node is the holder."""
         self.ledger.on_lease(node, lease)
 
     def on_loaded(self, node: str, loaded: JobsLoaded) -> None:
-        """Takes the jobs that an earlier holder accepted."""
+        """Handles a part of the stored jobs; resumes them after the last."""
         if not self.ledger.on_loaded(node, loaded):
             return
         now_ms = self._clock.now_ms()
         self._loaded_ms = now_ms
         kept_jobs = self.ledger.take_open()
-        for kept in kept_jobs:
-            self._take_over(kept, now_ms)
+        for kept_job in kept_jobs:
+            self._restore_job(kept_job, now_ms)
         for key, state in self.ledger.take_ended().items():
-            self._states[key] = (now_ms, state)
+            self._outcomes[key] = (now_ms, state)
         emit(
             Event.JOBS_LOADED,
             epoch=self.ledger.epoch,
             open_jobs=len(kept_jobs),
-            ended_jobs=len(self._states),
+            ended_jobs=len(self._outcomes),
         )
         self._fleet.ask_all()
-        self._take_early()
+        self._process_deferred()
 
-    def _take_over(self, kept: KeptJob, now_ms: float) -> None:
+    def _restore_job(self, kept_job: KeptJob, now_ms: float) -> None:
+        """Opens a loaded job with the progress of its tasks."""
         first_run = 1 + self.ledger.epoch * RUNS_AN_EPOCH
-        opened = OpenJob(kept.job, "", now_ms - kept.age_ms, first_run)
-        opened.entries.clear()
-        opened.is_stored = True
-        opened.is_placeable = False
-        for stage, indices in enumerate(kept.done):
+        open_job = OpenJob(
+            kept_job.job, "", now_ms - kept_job.age_ms, first_run
+        )
+        open_job.entries.clear()
+        open_job.is_stored = True
+        open_job.is_placeable = False
+        for stage, indices in enumerate(kept_job.done):
             for index in indices:
-                opened.tasks[stage][index].state = TaskState.DONE
-                opened.is_offered = True
-        for failed in kept.failures:
-            task = opened.tasks[failed.stage][failed.index]
+                open_job.tasks[stage][index].state = TaskState.DONE
+                open_job.is_offered = True
+        for failed in kept_job.failures:
+            task = open_job.tasks[failed.stage][failed.index]
             task.failures = failed.count
             task.last_failed_run = failed.last_run
-            opened.is_offered = True
-        opened.late_at_ms = self._admission.late_at_ms(opened)
-        self._jobs.add(opened)
-        self._unsettled[kept.job.key] = opened
-
-    def _take_early(self) -> None:
-        early_ends = self._early_ends
-        self._early_ends = []
-        for row, worker in early_ends:
-            self._take_foreign_end(row, worker)
-        early_submits = self._early_submits
-        self._early_submits = []
-        for entry, submit in early_submits:
+            open_job.is_offered = True
+        open_job.late_at_ms = self._admission.late_at_ms(open_job)
+        self._jobs.add(open_job)
+        self._unresolved[kept_job.job.key] = open_job
+
+    def _process_deferred(self) -> None:
+        """Processes the ends and submissions that arrived before loading."""
+        deferred_ends = self._deferred_ends
+        self._deferred_ends = []
+        for row, worker in deferred_ends:
+            self._apply_inherited_end(row, worker)
+        deferred_submits = self._deferred_submits
+        self._deferred_submits = []
+        for entry, submit in deferred_submits:
             self.on_submit(entry, submit)
 
     def on_written(self, written: JobsWritten) -> None:
-        """Learns that a write is stored."""
+        """Handles the confirmation that a write is stored."""
         for stored in self.ledger.on_written(written):
             match stored.change:
                 case AcceptJob(job=job):
-                    self._on_accepted(job.key)
+                    self._on_accept_stored(job.key)
                 case EndTask(key=key):
                     self._fleet.on_stored(stored.worker, stored.sequence)
                     self._on_end_stored(key)
                 case CancelAccepted(key=key):
-                    self._on_cancelled(key)
+                    self._on_cancel_stored(key)
 
-    def _on_accepted(self, key: str) -> None:
-        opened = self._jobs.by_key.get(key)
-        if opened is None or opened.is_stored:
+    def _on_accept_stored(self, key: str) -> None:
+        open_job = self._jobs.by_key.get(key)
+        if open_job is None or open_job.is_stored:
             return
-        opened.is_stored = True
-        opened.is_placeable = True
+        open_job.is_stored = True
+        open_job.is_placeable = True
         emit(
             Event.JOB_STORED,
             job=key,
-            queue=opened.job.queue,
-            age_ms=round(self._clock.now_ms() - opened.arrived_ms),
+            queue=open_job.job.queue,
+            age_ms=round(self._clock.now_ms() - open_job.arrived_ms),
             open_jobs=len(self._jobs.by_key),
             epoch=self.ledger.epoch,
         )
         accepted = JobEnded(key, Verdict.ACCEPTED, Reason.NONE, 0.0)
-        for entry in opened.entries:
-            self._tell(entry, accepted)
-        opened.entries.clear()
-        self._jobs.enqueue(opened)
+        for entry in open_job.entries:
+            self._send(entry, accepted)
+        open_job.entries.clear()
+        self._jobs.enqueue(open_job)
 
     def _on_end_stored(self, key: str) -> None:
-        opened = self._jobs.by_key.get(key)
-        if opened is None:
+        open_job = self._jobs.by_key.get(key)
+        if open_job is None:
             return
-        opened.unstored_ends -= 1
-        is_ending = opened.outcome in (JobState.COMPLETED, JobState.FAILED)
-        if is_ending and not opened.unstored_ends:
-            self._end(opened, opened.outcome)
-
-    def _on_cancelled(self, key: str) -> None:
-        opened = self._jobs.by_key.get(key)
-        if opened is not None:
-            self._end(opened, JobState.CANCELLED)
+        open_job.unstored_ends -= 1
+        is_ending = open_job.outcome in (JobState.COMPLETED, JobState.FAILED)
+        if is_ending and not open_job.unstored_ends:
+            self._end_job(open_job, open_job.outcome)
+
+    def _on_cancel_stored(self, key: str) -> None:
+        open_job = self._jobs.by_key.get(key)
+        if open_job is not None:
+            self._end_job(open_job, JobState.CANCELLED)
         for entry, request in self._cancels.pop(key, ()):
-            self._tell(entry, JobCancelled(request, True))
+            self._send(entry, JobCancelled(request, True))
 
-    def _end(self, opened: OpenJob, state: JobState) -> None:
-        key = opened.job.key
+    def _end_job(self, open_job: OpenJob, state: JobState) -> None:
+        """Ends a job whose outcome is stored."""
+        key = open_job.job.key
         now_ms = self._clock.now_ms()
-        if state is JobState.COMPLETED and not opened.job.schedule:
-            self._admission.on_completed(opened, now_ms)
-        self._states[key] = (now_ms, state)
-        self._unsettled.pop(key, None)
+        if state is JobState.COMPLETED and not open_job.job.schedule:
+            self._admission.on_completed(open_job, now_ms)
+        self._outcomes[key] = (now_ms, state)
+        self._unresolved.pop(key, None)
         reason = _REASONS.get(state, Reason.NONE)
-        self._finish(opened, _VERDICTS[state], reason, 0.0)
-        for question in self._questions.pop(key, ()):
-            self._answer(question)
+        self._finish(open_job, _VERDICTS[state], reason, 0.0)
+        for pending in self._state_requests.pop(key, ()):
+            self._reply(pending)
 
-    # Time.
+    # Periodic work.
 
-    def may_place(self, opened: OpenJob) -> bool:
-        """Tells whether tasks of a kept job may be started now."""
-        return opened.outcome is None and self.ledger.has_authority
+    def may_place(self, open_job: OpenJob) -> bool:
+        """Returns whether tasks of a kept job may be started now."""
+        return open_job.outcome is None and self.ledger.has_authority
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: takeover, replies, authority and expiry."""
         now_ms = self._clock.now_ms()
-        self._settle(now_ms)
-        self._answer_waiting(now_ms)
-        self._watch_authority(now_ms)
-        self._forget_ended(now_ms)
-
-    def _forget_ended(self, now_ms: float) -> None:
-        keep_ms = self._fleet.timing.keep_ended_ms + REMEMBER_MARGIN_MS
-        while self._states:
-            key, (ended_ms, _) = next(iter(self._states.items()))
-            if now_ms - ended_ms < keep_ms:
+        self._resolve_inherited(now_ms)
+        self._reply_overdue(now_ms)
+        self._check_authority(now_ms)
+        self._expire_ended(now_ms)
+
+    def _expire_ended(self, now_ms: float) -> None:
+        """Drops the outcomes of jobs that ended long ago."""
+        retention_ms = self._fleet.timing.keep_ended_ms + RETENTION_MARGIN_MS
+        while self._outcomes:
+            key, (ended_ms, _) = next(iter(self._outcomes.items()))
+            if now_ms - ended_ms < retention_ms:
                 return
-            del self._states[key]
+            del self._outcomes[key]
 
-    def _settle(self, now_ms: float) -> None:
-        """Finds what runs of jobs that an earlier holder accepted."""
+    def _resolve_inherited(self, now_ms: float) -> None:
+        """Assigns inherited runs to the loaded jobs.
+
+        The jobs' remaining tasks are placed once no unknown run of them can
+        exist.
+        """
         for run in list(self._fleet.foreign.values()):
             key = run.task_id.job
-            if key in self._unsettled:
-                self._claim(self._unsettled[key], run)
-            elif key in self._states and run.state is RunState.RUNNING:
+            if key in self._unresolved:
+                self._claim_run(self._unresolved[key], run)
+            elif key in self._outcomes and run.state is RunState.RUNNING:
                 self._fleet.stop(run)
-        if not self._unsettled or not self._is_settled(now_ms):
+        if not self._unresolved or not self._can_resolve(now_ms):
             return
-        for opened in self._unsettled.values():
-            opened.is_placeable = True
-            self._jobs.enqueue(opened)
-            for run in opened.partial_gangs():
+        for open_job in self._unresolved.values():
+            open_job.is_placeable = True
+            self._jobs.enqueue(open_job)
+            for run in open_job.partial_gangs():
                 self._fleet.stop(run)
-        self._unsettled.clear()
+        self._unresolved.clear()
 
-    def _is_settled(self, now_ms: float) -> bool:
-        """Tells whether all that an earlier holder began is known or over."""
-        if now_ms - self._began_ms >= handover_ms(self._fleet.timing):
+    def _can_resolve(self, now_ms: float) -> bool:
+        """Returns whether every run of an earlier holder is known or over."""
+        if now_ms - self._created_ms >= handover_ms(self._fleet.timing):
             return True
-        has_listened = now_ms - self._listened_since_ms >= LISTENED_MS
-        return has_listened and self._fleet.is_adopted_since(self._loaded_ms)
+        is_discovery_over = now_ms - self._listened_since_ms >= DISCOVERY_MS
+        return is_discovery_over and self._fleet.is_adopted_since(
+            self._loaded_ms
+        )
 
-    def _claim(self, opened: OpenJob, run: Run) -> None:
-        """Gives a run that an earlier holder began to its task."""
-        task = opened.task_of(run.task_id)
+    def _claim_run(self, open_job: OpenJob, run: Run) -> None:
+        """Assigns an inherited run to its task if the task is waiting."""
+        task = open_job.task_of(run.task_id)
         if task.state is not TaskState.WAITING:
             return
-        expected_ms = self._admission.expected_ms(opened.job, task)
+        expected_ms = self._admission.expected_ms(open_job.job, task)
         if self._fleet.claim(task, expected_ms):
             task.state = TaskState.PLACED
-            opened.is_offered = True
+            open_job.is_offered = True
 
-    def _watch_authority(self, now_ms: float) -> None:
-        """Lets nothing run on that another holder may start elsewhere."""
+    def _check_authority(self, now_ms: float) -> None:
+        """Stops runs of kept jobs that another holder may start elsewhere."""
         has_authority = self.ledger.has_authority
         if has_authority != self._had_authority:
             self._had_authority = has_authority
-            self._lost_ms = now_ms
+            self._authority_changed_ms = now_ms
             event = Event.AUTHORITY_BACK
             if not has_authority:
                 event = Event.AUTHORITY_LOST
@@ -517,22 +572,26 @@
                 self._stop_kept_runs(worker, now_ms)
 
     def _refuse_unsent(self) -> None:
-        """Refuses the jobs whose acceptance has never been sent."""
+        """Refuses the jobs whose acceptance was never sent to a leader."""
         for job in self.ledger.withdraw_jobs():
-            opened = self._jobs.by_key.get(job.key)
-            if opened is not None:
+            open_job = self._jobs.by_key.get(job.key)
+            if open_job is not None:
                 self._finish(
-                    opened, Verdict.REFUSED, Reason.NOT_STORED, RETRY_MS
+                    open_job, Verdict.REFUSED, Reason.NOT_STORED, RETRY_MS
                 )
             for entry, request in self._cancels.pop(job.key, ()):
-                self._tell(entry, JobCancelled(request, False))
+                self._send(entry, JobCancelled(request, False))
 
     def _stop_kept_runs(self, worker: Worker, now_ms: float) -> None:
+        """Stops a worker's runs of kept jobs and lets its lease expire.
+
+        The lease also expires once while ends that it lists are not stored.
+        """
         kept_runs = [run for run in worker.runs.values() if _is_kept(run)]
         if kept_runs:
             worker.is_lease_withheld = True
         elif worker.has_unstored_ends:
-            worker.withhold_lease(self._lost_ms, now_ms)
+            worker.withhold_lease(self._authority_changed_ms, now_ms)
         else:
             worker.is_lease_withheld = False
         for run in kept_runs:
@@ -545,10 +604,11 @@
 
 
 def handover_ms(timing: PoolTiming) -> float:
-    """Returns after which time nothing runs that an earlier holder began.
+    """Returns how long a run of an earlier holder can go on, in ms.
 
-    It stops at the end of its authority; where its stops do not arrive, its
-    last leases lapse.
+    The time counts from when the new holder starts to act on its grant. The
+    earlier holder stops its runs when its authority ends; where a stop request
+    does not arrive, the last lease expires.
     """
     lease_ms = timing.lease_ms * (1 + CLOCK_DRIFT) + TRANSIT_MS
-    return AUTHORITY_MS + lease_ms + timing.stop_ms + MARGIN_MS
+    return AUTHORITY_MS + lease_ms + timing.stop_ms + HANDOVER_MARGIN_MS
