--- a/packages/pool/src/clayfield/pool/callers.py
+++ b/packages/pool/src/clayfield/pool/callers.py
@@ -1,4 +1,9 @@
-"""The callers of one entry: jobs and questions that wait for the holder."""
+"""Callers of one entry node whose requests wait for the holder.
+
+An entry node forwards its callers' jobs to the holder, the node that schedules
+all workers, and forwards them again when the holder changes. Cancel and state
+requests are forwarded once.
+"""
 
 import abc
 
@@ -20,38 +25,39 @@
 from clayfield.wire.jobs import Job, Reason, Verdict
 from clayfield.wire.messages import Message
 
-# How long a job that was never sent waits for a holder, as a part of its
-# objective; the part for which nobody minds a refusal.
-PATIENCE_SHARE = 0.2
+# How long a job that was never sent waits for a holder, as a share of its
+# objective; a caller that is refused then has time to try elsewhere.
+MAX_WAIT_SHARE = 0.2
+# When the caller of a refused job may try again.
 NO_HOLDER_RETRY_MS = 500.0
-# How much longer than the job's own time its entry waits for the holder.
+# How much longer than the job's own timeout its entry node waits.
 HOLDER_SLACK_MS = 100.0
-# How long the holder may take to answer a question.
-QUESTION_MS = 1000.0
+# How long the holder may take to reply to a cancel or state request.
+REQUEST_TIMEOUT_MS = 1000.0
 
 
 class HolderLink(abc.ABC):
-    """The way to the holder, as the entry knows it."""
+    """The connection from an entry node to the current holder."""
 
     @property
     @abc.abstractmethod
     def holder(self) -> str:
-        """The node to hand jobs to, "" where none is known."""
+        """Name of the node to send jobs to, "" if none is known."""
 
     @property
     @abc.abstractmethod
     def is_holder_reachable(self) -> bool:
-        """Whether jobs can be handed to the holder now."""
+        """Whether jobs can be sent to the holder now."""
 
     @property
     @abc.abstractmethod
     def uses_standby(self) -> bool:
-        """Whether the holder is the stand-by of a hall that is cut off."""
+        """Whether `holder` is the standby of a partitioned hall."""
 
     @property
     @abc.abstractmethod
     def epoch(self) -> int:
-        """Of the grant that names the holder."""
+        """Epoch of the grant that names the holder."""
 
     @abc.abstractmethod
     def tell_holder(self, message: Message) -> None:
@@ -59,15 +65,18 @@
 
     @abc.abstractmethod
     def tell_workers(self) -> None:
-        """Tells the holder, once a grant, of all workers known here."""
+        """Sends all workers known here to the holder, once for each grant."""
 
 
 class _Pending:
     """A job whose callers wait.
 
     Attributes:
-        sent_to: the holder that it was sent to last, "" before.
-        was_sent: whether it was ever sent.
+        job: the job.
+        waiters: numbers of the callers that wait.
+        arrived_ms: time of its arrival, in ms.
+        sent_to: the holder that has the job, "" if it is to be sent.
+        was_sent: whether it was ever sent to a holder.
     """
 
     __slots__ = ("arrived_ms", "job", "sent_to", "waiters", "was_sent")
@@ -80,8 +89,14 @@
         self.was_sent = False
 
 
-class _Question:
-    """What a caller wants of a job, and the holder has not answered yet."""
+class _Request:
+    """A cancel or state request without a reply from the holder.
+
+    Attributes:
+        waiter: number of the caller that waits.
+        since_ms: time when it was sent, in ms.
+        is_cancel: whether it is a cancel request; a state request otherwise.
+    """
 
     __slots__ = ("is_cancel", "since_ms", "waiter")
 
@@ -92,10 +107,13 @@
 
 
 class Callers:
-    """What callers wait for at one entry.
+    """Tracks the jobs and requests of one entry node's callers.
+
+    A caller is identified by a number, its *waiter*, chosen by the embedding
+    process.
 
     Attributes:
-        actions: answers to give; the entry empties it.
+        actions: answers to callers; the entry node clears it.
     """
 
     def __init__(self, clock: Clock, link: HolderLink):
@@ -103,44 +121,47 @@
         self._clock = clock
         self._link = link
         self._pending: dict[str, _Pending] = {}
-        self._questions: dict[int, _Question] = {}
-        self._requests = 0
+        self._requests: dict[int, _Request] = {}
+        self._last_request = 0
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs wait for their answer here."""
+        """Number of jobs whose callers wait here."""
         return len(self._pending)
 
     def waiting_of(self, queue: str) -> int:
-        """Returns how many jobs of a queue, none to be kept, are open here."""
+        """Returns how many jobs of a queue wait here, without kept jobs."""
         return sum(
-            one.job.queue == queue and not one.job.is_kept
-            for one in self._pending.values()
+            pending.job.queue == queue and not pending.job.is_kept
+            for pending in self._pending.values()
         )
 
     def has_job(self, key: str) -> bool:
-        """Tells whether callers wait for a job."""
+        """Returns whether callers wait for a job."""
         return key in self._pending
 
     # Jobs.
 
     def submit(self, job: Job, waiter: int) -> None:
-        """Takes a job; `AnswerCaller` tells its end."""
-        known = self._pending.get(job.key)
-        if known:
-            known.waiters.append(waiter)
+        """Submits a job; an `AnswerCaller` action reports its result."""
+        existing = self._pending.get(job.key)
+        if existing:
+            existing.waiters.append(waiter)
             return
         pending = _Pending(job, waiter, self._clock.now_ms())
         self._pending[job.key] = pending
-        self._hand_over(pending)
+        self._forward(pending)
 
     def refuse(self, job: Job, waiter: int, reason: Reason) -> None:
-        """Answers at once that a job is not taken."""
+        """Refuses a job immediately."""
         ended = JobEnded(job.key, Verdict.REFUSED, reason, NO_HOLDER_RETRY_MS)
         self.actions.append(AnswerCaller(waiter, ended))
 
     def leave(self, key: str, waiter: int) -> None:
-        """Learns that a caller waits no more; a job that is kept goes on."""
+        """Handles the disconnection of a caller.
+
+        A job without any other caller is cancelled, unless it is kept.
+        """
         pending = self._pending.get(key)
         if pending is None or waiter not in pending.waiters:
             return
@@ -150,10 +171,14 @@
             self._link.tell_holder(CancelJob(0, key))
 
     def on_job_ended(self, node: str, ended: JobEnded) -> None:
-        """Learns from a node what the callers of a job are to be told.
+        """Handles the result of a job.
+
+        A former holder may still refuse or abandon a job that was meanwhile
+        sent to its successor; such a result is ignored.
 
-        A holder that was followed may still refuse or give up a job that its
-        follower has been handed meanwhile; only the follower can tell.
+        Args:
+            node: the sender.
+            ended: the result.
         """
         pending = self._pending.get(ended.key)
         if pending is None:
@@ -168,38 +193,44 @@
             self.actions.append(AnswerCaller(waiter, ended))
 
     def give_up_all(self, reason: Reason) -> None:
-        """Answers every caller that still waits for its job."""
+        """Ends all pending jobs as refused or abandoned."""
         for pending in list(self._pending.values()):
-            self._give_up(pending, reason)
+            self._fail(pending, reason)
 
-    def _give_up(self, pending: _Pending, reason: Reason) -> None:
+    def _fail(self, pending: _Pending, reason: Reason) -> None:
+        """Ends a job: abandoned if it was ever sent, refused otherwise."""
         verdict = Verdict.ABANDONED if pending.was_sent else Verdict.REFUSED
         key = pending.job.key
         ended = JobEnded(key, verdict, reason, NO_HOLDER_RETRY_MS)
         self._answer(pending, ended)
 
-    # Jobs to the holder.
+    # Forwarding of jobs.
 
     def forget_sent_to(self, node: str | None) -> None:
-        """Has the jobs that a node (None: any) was sent handed over again."""
+        """Marks jobs to be sent again.
+
+        Args:
+            node: the node that they were sent to, None for any node.
+        """
         for pending in self._pending.values():
             if node is None or pending.sent_to == node:
                 pending.sent_to = ""
 
     def hand_over_all(self) -> None:
-        """Hands over what the present holder has not been sent."""
+        """Sends all jobs that the current holder was not sent."""
         for pending in list(self._pending.values()):
-            self._hand_over(pending)
+            self._forward(pending)
 
-    def _hand_over(self, pending: _Pending) -> None:
+    def _forward(self, pending: _Pending) -> None:
+        """Sends a job to the holder if it was not sent there and may be."""
         link = self._link
         if pending.sent_to == link.holder or not link.is_holder_reachable:
             return
-        is_for_holder = pending.was_sent or pending.job.is_kept
-        if is_for_holder and link.uses_standby:
-            # It may run on workers that the stand-by cannot reach, or be kept,
-            # which takes a majority. When the hall is joined with the others
-            # again, the holder will tell.
+        needs_holder = pending.was_sent or pending.job.is_kept
+        if needs_holder and link.uses_standby:
+            # The job may run on workers that the standby can't reach, or it
+            # is kept, which takes a majority of the control nodes. It is sent
+            # to the holder once the partition is over.
             return
         submit = SubmitJob(
             pending.job,
@@ -213,69 +244,76 @@
         pending.was_sent = True
         link.tell_holder(submit)
 
-    # Questions.
+    # Cancel and state requests.
 
     def cancel(self, key: str, waiter: int) -> None:
-        """Ends a job, whoever submitted it; `AnswerCancel` tells."""
-        number = self._ask(waiter, is_cancel=True)
+        """Cancels a job of any caller; `AnswerCancel` reports the result."""
+        number = self._add_request(waiter, is_cancel=True)
         if number:
             self._link.tell_holder(CancelJob(number, key))
 
     def ask_state(self, key: str, waiter: int) -> None:
-        """Asks where a kept job stands; `AnswerState` tells."""
-        number = self._ask(waiter, is_cancel=False)
+        """Requests the state of a kept job; `AnswerState` reports it."""
+        number = self._add_request(waiter, is_cancel=False)
         if number:
             self._link.tell_holder(AskState(number, key))
 
-    def _ask(self, waiter: int, is_cancel: bool) -> int:
-        """Notes a question; returns its number, 0 if nobody can be asked."""
-        question = _Question(waiter, self._clock.now_ms(), is_cancel)
+    def _add_request(self, waiter: int, is_cancel: bool) -> int:
+        """Records a request; returns its number, 0 without a reachable holder.
+
+        Without one the caller is answered at once that the result is unknown.
+        """
+        pending_request = _Request(waiter, self._clock.now_ms(), is_cancel)
         if not self._link.is_holder_reachable:
-            self._answer_unknown(question)
+            self._answer_unknown(pending_request)
             return 0
-        self._requests += 1
-        self._questions[self._requests] = question
-        return self._requests
-
-    def on_cancelled(self, told: JobCancelled) -> None:
-        """Takes the holder's answer to a cancel."""
-        asked = self._questions.pop(told.request, None)
-        if asked:
-            self.actions.append(AnswerCancel(asked.waiter, told.is_known))
-
-    def on_state(self, told: StateTold) -> None:
-        """Takes the holder's answer about a kept job."""
-        asked = self._questions.pop(told.request, None)
-        if asked:
-            self.actions.append(AnswerState(asked.waiter, told))
-
-    def _answer_unknown(self, question: _Question) -> None:
-        if question.is_cancel:
-            self.actions.append(AnswerCancel(question.waiter, None))
+        self._last_request += 1
+        self._requests[self._last_request] = pending_request
+        return self._last_request
+
+    def on_cancelled(self, reply: JobCancelled) -> None:
+        """Handles the holder's reply to a cancel request."""
+        pending_request = self._requests.pop(reply.request, None)
+        if pending_request:
+            self.actions.append(
+                AnswerCancel(pending_request.waiter, reply.is_known)
+            )
+
+    def on_state(self, reply: StateTold) -> None:
+        """Handles the holder's reply to a state request."""
+        pending_request = self._requests.pop(reply.request, None)
+        if pending_request:
+            self.actions.append(AnswerState(pending_request.waiter, reply))
+
+    def _answer_unknown(self, request: _Request) -> None:
+        """Answers a caller that the result of its request is unknown."""
+        if request.is_cancel:
+            self.actions.append(AnswerCancel(request.waiter, None))
         else:
-            self.actions.append(AnswerState(question.waiter, None))
+            self.actions.append(AnswerState(request.waiter, None))
 
-    # Time.
+    # Periodic work.
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: forwarding of jobs and timeouts."""
         now_ms = self._clock.now_ms()
         for pending in list(self._pending.values()):
             self._tick_pending(pending, now_ms)
-        for request, question in list(self._questions.items()):
-            if now_ms - question.since_ms > QUESTION_MS:
-                del self._questions[request]
-                self._answer_unknown(question)
+        for number, request in list(self._requests.items()):
+            if now_ms - request.since_ms > REQUEST_TIMEOUT_MS:
+                del self._requests[number]
+                self._answer_unknown(request)
 
     def _tick_pending(self, pending: _Pending, now_ms: float) -> None:
-        self._hand_over(pending)
+        self._forward(pending)
         age_ms = now_ms - pending.arrived_ms
         if age_ms > pending.job.timeout_ms + HOLDER_SLACK_MS:
-            self._give_up(pending, Reason.TIMED_OUT)
-        elif not pending.was_sent and age_ms > _patience_ms(pending.job):
-            self._give_up(pending, Reason.NO_HOLDER)
+            self._fail(pending, Reason.TIMED_OUT)
+        elif not pending.was_sent and age_ms > _max_wait_ms(pending.job):
+            self._fail(pending, Reason.NO_HOLDER)
 
 
-def _patience_ms(job: Job) -> float:
-    longest_ms = sum(step.estimate_ms for step in job.steps)
-    return PATIENCE_SHARE * (job.stretch * longest_ms + job.target_ms)
+def _max_wait_ms(job: Job) -> float:
+    """Returns how long a job that was never sent waits for a holder."""
+    total_ms = sum(step.estimate_ms for step in job.steps)
+    return MAX_WAIT_SHARE * (job.stretch * total_ms + job.target_ms)
--- a/packages/pool/src/clayfield/pool/entry.py
+++ b/packages/pool/src/clayfield/pool/entry.py
@@ -1,8 +1,10 @@
-"""One entry's decisions: its callers' jobs, and who holds the workers.
+"""An entry node: forwards its callers' jobs and may schedule the workers.
 
-An entry hands each job to the holder and answers its caller when the holder
-tells the end. Any entry may itself be the holder, or the stand-by that holds
-its hall's workers while the hall is cut off.
+An entry node forwards each job to the holder, the entry node that schedules
+all workers under the current grant of the control nodes, and answers the
+caller when the holder reports the end of the job. Any entry node may itself be
+the holder, or the standby that schedules its hall's workers while the hall is
+partitioned from the holder.
 """
 
 from clayfield.base import Clock
@@ -35,23 +37,28 @@
 from clayfield.wire.ledger import HolderLease, JobsLoaded, JobsWritten
 from clayfield.wire.messages import Message
 
+# Interval between status messages.
 STATUS_MS = 200.0
-# How long jobs are kept that come before the grant that makes this node the
+# How long a job waits that arrives before the grant that makes this node the
 # holder.
-EARLY_MS = 1000.0
+EARLY_SUBMIT_MS = 1000.0
 
 
 class Entry(HolderLink):
-    """The decisions of one entry.
+    """The state machine of one entry node.
+
+    It does no I/O: it is fed events and a clock, and returns the actions to
+    carry out.
 
     Attributes:
-        node: its name.
-        hall: where it stands.
-        routes: the routes in force.
-        callers: what callers wait for here.
-        dispatcher: set while it holds workers.
-        is_stopping: whether it is to hold nothing any more.
-        is_refusing: whether it takes no jobs any more.
+        node: name of the node.
+        hall: hall of the node.
+        routes: the active routing table.
+        callers: jobs and requests of callers that wait here.
+        dispatcher: schedules workers; None unless this node is the holder or
+            the active standby.
+        is_stopping: whether a planned shutdown has started.
+        is_refusing: whether it refuses new jobs.
     """
 
     def __init__(self, node: str, hall: str, clock: Clock, timing: PoolTiming):
@@ -65,42 +72,42 @@
         self._clock = clock
         self._timing = timing
         self._role = Role(node, hall, clock)
-        self._holds_hall_only = False
+        self._is_hall_only = False
         self._open_nodes: dict[str, NodeGreeting] = {}
         self._workers: dict[str, WorkerInfo] = {}
-        self._waiting_kept: dict[str, int] = {}
+        self._kept_counts: dict[str, int] = {}
         self._serves_kept = False
-        self._early: list[tuple[float, str, SubmitJob]] = []
+        self._early_submits: list[tuple[float, str, SubmitJob]] = []
         self._actions: list[EntryAction] = []
         self._next_status_ms = 0.0
         self._started_ms = clock.now_ms()
-        self._told_workers = ("", 0)
+        self._workers_sent_to = ("", 0)
 
-    # Questions.
+    # Queries.
 
     @property
     def grant(self) -> Grant:
-        """The latest grant that it knows."""
+        """The latest grant that the node has received."""
         return self._role.grant
 
     @property
     def epoch(self) -> int:
-        """Of the latest grant."""
+        """Epoch of the latest grant."""
         return self._role.grant.epoch
 
     @property
     def holder(self) -> str:
-        """The node to hand jobs to, "" where none is known."""
+        """Name of the node to send jobs to, "" if none is known."""
         return self._role.holder
 
     @property
     def uses_standby(self) -> bool:
-        """Whether the holder is the stand-by of a hall that is cut off."""
+        """Whether `holder` is the standby of a partitioned hall."""
         return self._role.uses_standby
 
     @property
     def is_holder_reachable(self) -> bool:
-        """Whether jobs can be handed to the holder now."""
+        """Whether jobs can be sent to the holder now."""
         holder = self.holder
         if holder == self.node:
             return self.dispatcher is not None
@@ -108,7 +115,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this entry can serve callers."""
+        """Whether this node can serve callers."""
         return (
             not self.is_stopping
             and self.routes.version > 0
@@ -117,30 +124,38 @@
 
     @property
     def known_workers(self) -> set[str]:
-        """The names of the workers that this entry has heard of."""
+        """Names of the workers that this node has received a heartbeat of."""
         return set(self._workers)
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs wait for their answer here."""
+        """Number of jobs whose callers wait here."""
         return self.callers.open_jobs
 
     def waiting_of(self, queue: str) -> int:
-        """Returns how many jobs of a queue wait: kept, or open here."""
-        kept = self._waiting_kept.get(queue, 0)
+        """Returns how many jobs of a queue wait.
+
+        Counts the kept jobs of all entry nodes and the other jobs of this one.
+        """
+        kept = self._kept_counts.get(queue, 0)
         return kept + self.callers.waiting_of(queue)
 
     # Callers.
 
     def submit(self, job: Job, waiter: int) -> None:
-        """Takes a job; `AnswerCaller` tells its end."""
+        """Submits a caller's job; an `AnswerCaller` action reports its result.
+
+        Args:
+            job: the job.
+            waiter: number of the caller.
+        """
         if self.is_refusing and not self.callers.has_job(job.key):
             self.callers.refuse(job, waiter, Reason.STOPPING)
         else:
             self.callers.submit(job, waiter)
 
     def give_up_all(self) -> None:
-        """Answers every caller that still waits: the process ends."""
+        """Ends all pending jobs because the process stops."""
         self.callers.give_up_all(Reason.STOPPING)
 
     # The holder.
@@ -154,41 +169,42 @@
             self._actions.append(TellEntry(holder, message))
 
     def tell_workers(self) -> None:
-        """Tells the holder, once a grant, of all workers known here.
+        """Sends all workers known here to the holder, once for each grant.
 
-        It may be new and lack those that only this hall's control node has
-        heard of, while a job that comes with this runs on one of them.
+        A new holder may lack workers whose heartbeats only the control node
+        of this hall has received, while a job that is sent with this message
+        runs on one of them.
         """
-        told = (self.holder, self.epoch)
-        if told == self._told_workers or self.holder == self.node:
+        recipient = (self.holder, self.epoch)
+        if recipient == self._workers_sent_to or self.holder == self.node:
             return
-        self._told_workers = told
+        self._workers_sent_to = recipient
         infos = tuple(self._workers.values())
         self._actions.append(TellEntry(self.holder, WorkersPush(infos)))
 
     # Nodes.
 
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that a node is connected."""
+        """Handles a new connection to a node."""
         self._open_nodes[greeting.node] = greeting
         self._role.note_outside(self._open_nodes.values())
         if greeting.node == self.holder:
             self.callers.hand_over_all()
 
     def on_closed(self, node: str) -> None:
-        """Learns that a node is not connected any more."""
+        """Handles the loss of the connection to a node."""
         self._role.note_outside(self._open_nodes.values())
         self._open_nodes.pop(node, None)
         self.callers.forget_sent_to(node)
 
     def on_message(self, node: str, message: Message) -> None:
-        """Takes a message of a node."""
+        """Handles a message from a node."""
         match message:
             case Grant():
                 self._on_grant(message)
             case WorkersPush(workers=workers):
                 for info in workers:
-                    self._on_worker(info)
+                    self._on_worker_heartbeat(info)
             case WorkerLeft(name=name):
                 self._on_worker_left(name)
             case SubmitJob():
@@ -203,29 +219,33 @@
             case StateTold():
                 self.callers.on_state(message)
             case QueueCounts(waiting=waiting):
-                self._waiting_kept = waiting
+                self._kept_counts = waiting
                 self._serves_kept = True
             case AskState() | HolderLease() | JobsLoaded() | JobsWritten():
                 if self.dispatcher and self.dispatcher.kept:
-                    _tell_kept(self.dispatcher.kept, node, message)
+                    _route_to_kept_jobs(self.dispatcher.kept, node, message)
 
     def on_config(self, table: RoutingTable) -> bool:
-        """Puts a configuration in force unless a version as high is."""
+        """Activates a configuration if its version is newer.
+
+        Returns:
+            Whether the configuration was activated.
+        """
         if table.version <= self.routes.version:
             return False
         self.routes = Routes(table)
         return True
 
     def needs_config(self, push: ConfigPush) -> bool:
-        """Tells whether a pushed configuration is newer than the one held."""
+        """Returns whether a pushed configuration is newer than the active."""
         return push.version > self.routes.version
 
-    def _on_worker(self, info: WorkerInfo) -> None:
-        known = self._workers.get(info.name)
-        if known and known.sequence > info.sequence:
+    def _on_worker_heartbeat(self, info: WorkerInfo) -> None:
+        existing = self._workers.get(info.name)
+        if existing and existing.sequence > info.sequence:
             return
         self._workers[info.name] = info
-        if self.dispatcher and self._is_held(info):
+        if self.dispatcher and self._is_scheduled_here(info):
             self.dispatcher.on_worker(info)
 
     def _on_worker_left(self, name: str) -> None:
@@ -233,16 +253,17 @@
         if self.dispatcher:
             self.dispatcher.fleet.on_worker_left(name)
 
-    def _is_held(self, info: WorkerInfo) -> bool:
-        return not self._holds_hall_only or info.hall == self.hall
+    def _is_scheduled_here(self, info: WorkerInfo) -> bool:
+        """Returns whether a worker belongs to this node's dispatcher."""
+        return not self._is_hall_only or info.hall == self.hall
 
     def _on_submit(self, node: str, submit: SubmitJob) -> None:
         if self.dispatcher and submit.epoch <= self.epoch:
             self.dispatcher.on_submit(node, submit)
         else:
-            self._early.append((self._clock.now_ms(), node, submit))
+            self._early_submits.append((self._clock.now_ms(), node, submit))
 
-    # Holding.
+    # Grants and scheduling.
 
     def _on_grant(self, grant: Grant) -> None:
         if grant.epoch <= self.epoch:
@@ -251,36 +272,40 @@
         self._actions.append(Dial(grant.holder))
         if self._role.standby:
             self._actions.append(Dial(self._role.standby))
-        self._choose_part()
+        self._update_dispatcher()
         if not is_same:
             self.callers.forget_sent_to(None)
             self.callers.hand_over_all()
 
-    def _choose_part(self) -> None:
-        """Begins or ends holding workers, as the grant and the links say."""
+    def _update_dispatcher(self) -> None:
+        """Creates, keeps or drops the dispatcher, according to the role."""
         is_standby = self._role.is_standby and not self.is_stopping
         if not self._role.is_holder and not is_standby:
             self.dispatcher = None
             return
-        is_going_on = self.dispatcher and self._holds_hall_only == is_standby
-        if is_going_on and self._goes_on_holding(self.dispatcher):
+        has_same_scope = self.dispatcher and self._is_hall_only == is_standby
+        if has_same_scope and self._renew_dispatcher(self.dispatcher):
             return
-        self._holds_hall_only = is_standby
-        self._begin_to_hold()
+        self._is_hall_only = is_standby
+        self._create_dispatcher()
+
+    def _renew_dispatcher(self, dispatcher: Dispatcher) -> bool:
+        """Continues under the current grant, if this node had the last one too.
 
-    def _goes_on_holding(self, dispatcher: Dispatcher) -> bool:
-        """Goes on under the present grant, unless another held between."""
+        Returns:
+            Whether the dispatcher continues; it must be replaced otherwise.
+        """
         fence = self._role.fence
         if dispatcher.fleet.fence == fence:
             return True
-        if not self._holds_hall_only and not dispatcher.follows(self.epoch):
+        if not self._is_hall_only and not dispatcher.follows(self.epoch):
             return False
         dispatcher.raise_fence(fence, self.epoch)
         return True
 
-    def _begin_to_hold(self) -> None:
+    def _create_dispatcher(self) -> None:
         ledger: JobLedger | None = None
-        if not self._holds_hall_only:
+        if not self._is_hall_only:
             ledger = JobLedger(self._clock, self.epoch)
         self.dispatcher = Dispatcher(
             self._clock,
@@ -292,21 +317,21 @@
         self.dispatcher.fleet.serves_kept = self._serves_kept
         self._send_status()
         for info in self._workers.values():
-            if self._is_held(info):
+            if self._is_scheduled_here(info):
                 self.dispatcher.on_worker(info)
         self.callers.forget_sent_to(self.node)
-        early = self._early
-        self._early = []
-        for _, node, submit in early:
+        early_submits = self._early_submits
+        self._early_submits = []
+        for _, node, submit in early_submits:
             self._on_submit(node, submit)
         self.callers.hand_over_all()
 
     @property
     def _needs_epoch(self) -> bool:
-        """Whether the holder should get a higher fence.
+        """Whether a new grant with a higher fencing token is needed.
 
-        The stand-by of a hall that was cut off keeps the hall's workers until
-        the next grant, so that its jobs end where they run.
+        The standby of a hall keeps the hall's workers until the next grant
+        after the partition, so that its jobs end where they run.
         """
         if self._role.uses_standby:
             return not self._role.is_isolated
@@ -316,31 +341,33 @@
             and self.dispatcher.is_fenced
         )
 
-    # Time.
+    # Periodic work.
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: role, scheduling, timeouts and status."""
         now_ms = self._clock.now_ms()
         self._role.note_outside(self._open_nodes.values())
         self._role.tick()
-        self._choose_part()
+        self._update_dispatcher()
         if self.dispatcher:
             self.dispatcher.tick()
-            self._spread_gone(self.dispatcher)
+            self._announce_removed_workers(self.dispatcher)
         self.callers.tick()
-        self._early = [
-            early for early in self._early if now_ms - early[0] < EARLY_MS
+        self._early_submits = [
+            submit
+            for submit in self._early_submits
+            if now_ms - submit[0] < EARLY_SUBMIT_MS
         ]
         if now_ms >= self._next_status_ms:
             self._next_status_ms = now_ms + STATUS_MS
             self._send_status()
-            self._tell_counts()
+            self._send_counts()
 
-    def _spread_gone(self, dispatcher: Dispatcher) -> None:
-        """Has every entry forget the workers whose lives are over."""
+    def _announce_removed_workers(self, dispatcher: Dispatcher) -> None:
+        """Notifies all entry nodes of the workers that were removed."""
         for name in dispatcher.fleet.take_gone():
             self._workers.pop(name, None)
-            self._tell_all(ENTRY_ROLE, WorkerLeft(name))
+            self._broadcast(ENTRY_ROLE, WorkerLeft(name))
 
     def _send_status(self) -> None:
         status = EntryStatus(
@@ -350,77 +377,88 @@
             self._needs_epoch,
             self._clock.now_ms(),
         )
-        self._tell_all(CONTROL_ROLE, status)
+        self._broadcast(CONTROL_ROLE, status)
+
+    def _send_counts(self) -> None:
+        """Sends the numbers of waiting kept jobs to all entry nodes.
 
-    def _tell_counts(self) -> None:
-        """Tells every entry, while this node holds, how many jobs wait."""
+        Only the holder does so, and only while kept jobs are in use.
+        """
         kept = self.dispatcher.kept if self.dispatcher else None
         if kept is None or not kept.is_used:
             return
-        self._waiting_kept = kept.waiting()
+        self._kept_counts = kept.waiting()
         self._serves_kept = True
-        self._tell_all(ENTRY_ROLE, QueueCounts(self._waiting_kept))
+        self._broadcast(ENTRY_ROLE, QueueCounts(self._kept_counts))
 
-    def _tell_all(self, role: str, message: Message) -> None:
+    def _broadcast(self, role: str, message: Message) -> None:
+        """Sends a message to all connected nodes of a role."""
         for greeting in self._open_nodes.values():
             if greeting.role == role:
                 self._actions.append(TellEntry(greeting.node, message))
 
     def begin_stop(self) -> None:
-        """Asks for another holder, if it is one; takes no new part."""
+        """Starts a planned shutdown.
+
+        The control nodes then grant the workers to another node.
+        """
         self.is_stopping = True
         self._send_status()
 
-    # Answers of workers.
+    # Replies of workers and the advisor.
 
     def on_start_answer(
         self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
     ) -> None:
-        """Takes a worker's answer to a start."""
+        """Handles a worker's reply to a start request."""
         if self.dispatcher:
             self.dispatcher.fleet.on_start_answer(name, task_id, number, answer)
 
     def on_stop_answer(
         self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
     ) -> None:
-        """Takes a worker's answer to a stop."""
+        """Handles a worker's reply to a stop request."""
         if self.dispatcher:
             self.dispatcher.fleet.on_stop_answer(name, task_id, number, answer)
 
     def on_hold_answer(
         self, name: str, call: int, sent_ms: float, answer: HoldAnswer
     ) -> None:
-        """Takes a worker's answer to a hold."""
+        """Handles a worker's reply to a poll."""
         if self.dispatcher:
             self.dispatcher.fleet.on_hold_answer(name, call, sent_ms, answer)
 
     def on_advice(self, call: int, advice: Advice) -> None:
-        """Takes the advisor's answer."""
+        """Handles the advisor's reply to a ticket request."""
         if self.dispatcher:
             self.dispatcher.on_advice(call, advice)
 
     # Actions.
 
     def take_actions(self) -> list[EntryAction]:
-        """Returns what is to be done since the last call."""
+        """Places waiting tasks and returns the actions since the last call."""
         if self.dispatcher:
             self.dispatcher.place()
-            self._take_orders(self.dispatcher)
+            self._take_dispatcher_actions(self.dispatcher)
         actions = self._actions + self.callers.actions
         self._actions = []
         self.callers.actions = []
         return actions
 
-    def _take_orders(self, dispatcher: Dispatcher) -> None:
-        """Passes on what the dispatcher wants done; answers itself at once."""
-        for order in dispatcher.take_actions():
-            if isinstance(order, TellEntry) and order.node == self.node:
-                self.on_message(self.node, order.message)
+    def _take_dispatcher_actions(self, dispatcher: Dispatcher) -> None:
+        """Collects the dispatcher's actions.
+
+        Messages to this node are handled directly.
+        """
+        for action in dispatcher.take_actions():
+            if isinstance(action, TellEntry) and action.node == self.node:
+                self.on_message(self.node, action.message)
             else:
-                self._actions.append(order)
+                self._actions.append(action)
 
 
-def _tell_kept(kept: KeptJobs, node: str, message: Message) -> None:
+def _route_to_kept_jobs(kept: KeptJobs, node: str, message: Message) -> None:
+    """Passes a message about kept jobs to its handler."""
     match message:
         case AskState():
             kept.on_ask(node, message)
--- a/packages/pool/src/clayfield/pool/ledger.py
+++ b/packages/pool/src/clayfield/pool/ledger.py
@@ -1,11 +1,13 @@
-"""The holder's side of the replicated record of kept jobs.
-
-The holder writes changes to the leader of the control log and learns when
-they are stored. One write is under way at a time, so that none overtakes an
-earlier one; it is sent again until it is answered, also to a later leader.
-Meanwhile further changes gather in the next. The leader's answers to the
-holder's statuses are its authority over kept jobs: without one for a while,
-another holder may have been chosen.
+"""The holder's client of the job store, the replicated record of kept jobs.
+
+The holder sends changes to the leader of the control log, which confirms them
+once they are on disk at a majority of the control nodes. Only one write is in
+flight at a time, which keeps writes in order; it is sent again until it is
+confirmed, also to a later leader. Further changes collect in the next write.
+
+The leader's replies to the holder's status messages give the holder
+*authority* over kept jobs for a limited time; after that another node may have
+become the holder.
 """
 
 from clayfield.base import Clock
@@ -22,19 +24,19 @@
     WriteJobs,
 )
 
-# How long after its status was sent an answered holder may run kept jobs.
+# How long authority lasts, from the sending of the confirmed status message.
 AUTHORITY_MS = 1500.0
-# A write or a question without an answer is sent again after so long.
+# After this time a request without a reply is sent again.
 RESEND_MS = 400.0
 
 
 class StoredChange:
-    """A change that is stored, with the end of a run that it is of.
+    """A change to the job store and the worker's report that it is based on.
 
     Attributes:
-        change: what was written.
-        worker: that lists the end, "" for none.
-        sequence: by which the worker numbers the end.
+        change: the change.
+        worker: name of the worker that lists the end of the run, "" for none.
+        sequence: the worker's number of that end.
     """
 
     __slots__ = ("change", "sequence", "worker")
@@ -46,7 +48,7 @@
 
 
 class _Batch:
-    """A write that is not answered yet."""
+    """A write that is not confirmed yet."""
 
     __slots__ = ("changes", "sent_ms", "sequence")
 
@@ -57,13 +59,14 @@
 
 
 class JobLedger:
-    """What a holder has written of kept jobs, and what of it is stored.
+    """Loads the stored jobs and writes the holder's changes to them.
 
     Attributes:
-        epoch: of the grant that the holder acts on.
-        confirmed_ms: when this node was last surely the only holder.
-        is_loaded: whether it has heard of all jobs kept before its grant.
-        actions: messages to send; the caller empties it.
+        epoch: the epoch of the grant that the holder acts on.
+        confirmed_ms: latest time when this node was certainly the only
+            holder, in ms.
+        is_loaded: whether all jobs stored before the grant were received.
+        actions: messages to send; the caller clears it.
     """
 
     def __init__(self, clock: Clock, epoch: int):
@@ -73,115 +76,141 @@
         self.actions: list[TellEntry] = []
         self._leader = ""
         self.confirmed_ms = -AUTHORITY_MS
-        self._asked_ms = -RESEND_MS
-        self._request = 0
-        self._parts: list[JobsLoaded] = []
+        self._load_sent_ms = -RESEND_MS
+        self._load_request = 0
+        self._loaded_parts: list[JobsLoaded] = []
         self._unsent: list[StoredChange] = []
-        self._under_way: _Batch | None = None
+        self._in_flight: _Batch | None = None
         self._sequence = 0
 
     @property
     def has_authority(self) -> bool:
-        """Whether surely no other holder may run kept jobs yet."""
+        """Whether certainly no other node is the holder yet."""
         return self._clock.now_ms() < self.confirmed_ms + AUTHORITY_MS
 
     def write(self, change: StoredChange) -> None:
-        """Writes a change; `on_written` returns it once it is stored."""
+        """Adds a change to the next write.
+
+        `on_written` returns the change once it is stored.
+        """
         self._unsent.append(change)
 
     def withdraw_jobs(self) -> list[Job]:
-        """Takes back the acceptances that were never sent; returns them."""
+        """Removes the jobs whose acceptance was never sent; returns them.
+
+        All other unsent changes to these jobs are removed too.
+        """
         jobs = [
-            one.change.job
-            for one in self._unsent
-            if isinstance(one.change, AcceptJob)
+            pending.change.job
+            for pending in self._unsent
+            if isinstance(pending.change, AcceptJob)
         ]
         keys = {job.key for job in jobs}
         self._unsent = [
-            one for one in self._unsent if _key_of(one.change) not in keys
+            pending
+            for pending in self._unsent
+            if _key_of(pending.change) not in keys
         ]
         return jobs
 
     def raise_epoch(self, epoch: int) -> None:
-        """Goes on under the next grant, with no other holder between."""
+        """Continues under this node's next grant.
+
+        No other node may have been the holder in between.
+        """
         self.epoch = epoch
-        self._send_again()
+        self._mark_unsent()
 
     # Messages of the leader.
 
     def on_lease(self, node: str, lease: HolderLease) -> None:
-        """Learns that a leader took this node for the holder at a time."""
+        """Handles a leader's confirmation that this node is the holder.
+
+        Loads the stored jobs from that leader if they are not loaded yet.
+        """
         if lease.epoch != self.epoch:
             return
         self.confirmed_ms = max(self.confirmed_ms, lease.sent_ms)
         if node != self._leader:
             self._leader = node
-            self._asked_ms = -RESEND_MS
-            self._send_again()
-        self._ask()
+            self._load_sent_ms = -RESEND_MS
+            self._mark_unsent()
+        self._send_load()
 
     def on_loaded(self, node: str, loaded: JobsLoaded) -> bool:
-        """Takes a part of the jobs; returns whether it was the last."""
-        is_next = loaded.part == len(self._parts)
-        if self.is_loaded or loaded.request != self._request or not is_next:
+        """Handles a part of the stored jobs.
+
+        Returns:
+            Whether it was the last part, so that all jobs are loaded now.
+        """
+        is_next = loaded.part == len(self._loaded_parts)
+        if (
+            self.is_loaded
+            or loaded.request != self._load_request
+            or not is_next
+        ):
             return False
-        self._parts.append(loaded)
+        self._loaded_parts.append(loaded)
         self.is_loaded = loaded.is_last
         return loaded.is_last
 
     def take_open(self) -> list[KeptJob]:
         """Returns the loaded jobs that have not ended."""
-        return [kept for part in self._parts for kept in part.open_jobs]
+        return [job for part in self._loaded_parts for job in part.open_jobs]
 
     def take_ended(self) -> dict[str, JobState]:
-        """Returns how other loaded jobs ended."""
+        """Returns by key the outcomes of the loaded jobs that ended.
+
+        Discards the loaded parts, so `take_open` must be called first.
+        """
         ended: dict[str, JobState] = {}
-        for part in self._parts:
+        for part in self._loaded_parts:
             ended.update(part.ended)
-        self._parts = []
+        self._loaded_parts = []
         return ended
 
     def on_written(self, written: JobsWritten) -> list[StoredChange]:
-        """Learns that a write is stored; returns its changes."""
-        batch = self._under_way
+        """Handles the confirmation of a write; returns its changes."""
+        batch = self._in_flight
         if batch is None or batch.sequence != written.sequence:
             return []
-        self._under_way = None
+        self._in_flight = None
         return batch.changes
 
     # Sending.
 
     def flush(self) -> None:
-        """Sends what is to be written, and again what is not answered."""
-        if self._under_way is None and self._unsent:
+        """Sends the next write, or again the one that is not confirmed."""
+        if self._in_flight is None and self._unsent:
             self._sequence += 1
-            self._under_way = _Batch(self._sequence, self._unsent)
+            self._in_flight = _Batch(self._sequence, self._unsent)
             self._unsent = []
-        batch = self._under_way
+        batch = self._in_flight
         if batch is None or not self._leader:
             return
         now_ms = self._clock.now_ms()
         if batch.sent_ms is None or now_ms - batch.sent_ms >= RESEND_MS:
             self._send(batch, now_ms)
 
-    def _send_again(self) -> None:
-        if self._under_way:
-            self._under_way.sent_ms = None
+    def _mark_unsent(self) -> None:
+        if self._in_flight:
+            self._in_flight.sent_ms = None
 
     def _send(self, batch: _Batch, now_ms: float) -> None:
         batch.sent_ms = now_ms
-        changes = tuple(one.change for one in batch.changes)
+        changes = tuple(pending.change for pending in batch.changes)
         write = WriteJobs(self.epoch, batch.sequence, changes)
         self.actions.append(TellEntry(self._leader, write))
 
-    def _ask(self) -> None:
+    def _send_load(self) -> None:
+        """Requests the stored jobs, unless they are loaded or requested."""
         now_ms = self._clock.now_ms()
-        if self.is_loaded or now_ms - self._asked_ms < RESEND_MS:
+        if self.is_loaded or now_ms - self._load_sent_ms < RESEND_MS:
             return
-        self._asked_ms = now_ms
-        self._request += 1
-        self._parts = []
-        load = LoadJobs(self.epoch, self._request)
+        self._load_sent_ms = now_ms
+        self._load_request += 1
+        self._loaded_parts = []
+        load = LoadJobs(self.epoch, self._load_request)
         self.actions.append(TellEntry(self._leader, load))
 
 
