--- a/packages/pool/src/clayfield/pool/__init__.py
+++ b/packages/pool/src/clayfield/pool/__init__.py
@@ -1,6 +1,7 @@
-"""The pool of workers: jobs, placement, order, admission and holding.
+"""Scheduling of jobs on the pool of workers: admission, placement and leases.
 
-Pure decisions: they are fed events and a clock and return actions.
+The state machines of this package do no I/O. They are fed events and a clock,
+and return the actions to carry out.
 """
 
 from clayfield.pool.actions import (
--- a/packages/pool/src/clayfield/pool/admission.py
+++ b/packages/pool/src/clayfield/pool/admission.py
@@ -1,7 +1,7 @@
-"""Whether jobs can be ended within their objectives.
+"""Objectives of jobs and forecasts of whether they end in time.
 
-All open jobs are laid on the places of the open workers in the order in which
-they would get them; what remains tells when each would end.
+A forecast assigns the tasks of all open jobs, in placement order, to the slots
+of the workers that accept tasks. It yields the time when each job would end.
 """
 
 import math
@@ -13,15 +13,16 @@
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import Job, Step
 
-# What a start and the notice of an end cost beside the task itself.
+# Duration of a start request and the report of an end.
 OVERHEAD_MS = 4.0
-# A job that has less than this part of its longest chain left is late.
+# A job is late when less time than this share of its longest chain of steps
+# remains.
 LATE_SHARE = 0.8
-# The margin is moved so that about this part of a queue's jobs ends late.
-WANTED_LATE = 0.05
+# Share of late jobs in a queue to which the margin is adjusted.
+TARGET_LATE_SHARE = 0.05
 MARGIN_STEP = 0.05
-LARGEST_MARGIN = 0.3
-# In how many ms a margin falls to a third where no job says otherwise.
+MAX_MARGIN = 0.3
+# Time constant of the exponential decay of a margin.
 MARGIN_DECAY_MS = 1200.0
 
 
@@ -33,39 +34,50 @@
         self._margins: dict[str, tuple[float, float]] = {}
 
     def learn(self, queue: str, estimate_ms: float, took_ms: float) -> None:
-        """Learns how long a task took on a worker of usual speed."""
+        """Updates a queue's estimates with the duration of an ended task.
+
+        Args:
+            queue: the queue of the job.
+            estimate_ms: the caller's estimate, in ms.
+            took_ms: the duration on a worker of normal speed, in ms.
+        """
         self._estimates.on_end(queue, estimate_ms, took_ms)
 
-    def on_completed(self, opened: OpenJob, now_ms: float) -> None:
-        """Learns whether a job's forecast was good enough.
+    def on_completed(self, open_job: OpenJob, now_ms: float) -> None:
+        """Adjusts the margin of a queue after a job of it was completed.
 
-        Forecasts know nothing of what comes later and goes first. Where jobs
-        of a queue end late, a part of their objective is kept as a margin.
+        Forecasts don't include jobs that arrive later with a higher priority.
+        While jobs of a queue end late, a share of their objective is therefore
+        reserved as a margin.
         """
-        job = opened.job
-        chain_ms = _chain_ms(job, opened.longest_runs_ms)
-        age_ms = now_ms - opened.arrived_ms
-        is_late = age_ms > job.stretch * chain_ms + job.target_ms
-        moved = MARGIN_STEP * (float(is_late) - WANTED_LATE)
-        margin = self._margin(job.queue, now_ms) + moved
-        margin = min(LARGEST_MARGIN, max(0.0, margin))
+        job = open_job.job
+        chain_duration_ms = _longest_chain_ms(job, open_job.longest_runs_ms)
+        age_ms = now_ms - open_job.arrived_ms
+        is_late = age_ms > job.stretch * chain_duration_ms + job.target_ms
+        adjustment = MARGIN_STEP * (float(is_late) - TARGET_LATE_SHARE)
+        margin = self._margin(job.queue, now_ms) + adjustment
+        margin = min(MAX_MARGIN, max(0.0, margin))
         self._margins[job.queue] = (now_ms, margin)
 
     def _margin(self, queue: str, now_ms: float) -> float:
-        known = self._margins.get(queue)
-        if known is None:
+        """Returns the margin of a queue, a share of the objective."""
+        entry = self._margins.get(queue)
+        if entry is None:
             return 0.0
-        set_ms, margin = known
+        set_ms, margin = entry
         return margin * math.exp((set_ms - now_ms) / MARGIN_DECAY_MS)
 
     def allowed_ms(self, job: Job, now_ms: float) -> float:
-        """Returns the latest forecast end with which a job is taken."""
+        """Returns the highest forecast with which a job is admitted, in ms."""
         margin = self._margin(job.queue, now_ms)
         least_ms = self.longest_ms(job) + OVERHEAD_MS
         return max(least_ms, (1.0 - margin) * self.objective_ms(job))
 
     def expected_ms(self, job: Job, task: Task) -> float:
-        """Returns how long a task will likely take."""
+        """Returns the expected duration of a task, in ms.
+
+        It is infinite for a long-running task.
+        """
         return self._step_ms(job, task.step)
 
     def _step_ms(self, job: Job, step: Step) -> float:
@@ -74,21 +86,24 @@
         return self._estimates.expected_ms(job.queue, step.estimate_ms)
 
     def longest_ms(self, job: Job) -> float:
-        """Returns the expected time of the longest chain of steps."""
+        """Returns the expected duration of the longest chain of steps."""
         expected = [self._step_ms(job, step) for step in job.steps]
-        return _chain_ms(job, expected)
+        return _longest_chain_ms(job, expected)
 
     def objective_ms(self, job: Job) -> float:
-        """Returns within which time a job is to be ended."""
+        """Returns how long after its arrival a job should end, in ms."""
         return job.stretch * self.longest_ms(job) + job.target_ms
 
-    def late_at_ms(self, opened: OpenJob) -> float:
-        """Returns when too little time is left to end a job in time."""
-        job = opened.job
-        if opened.is_lasting or job.schedule:
+    def late_at_ms(self, open_job: OpenJob) -> float:
+        """Returns the time from which on a job counts as late, in ms.
+
+        It is infinite for long-running and scheduled jobs.
+        """
+        job = open_job.job
+        if open_job.is_lasting or job.schedule:
             return math.inf
         needed_ms = self.longest_ms(job) * LATE_SHARE
-        return opened.arrived_ms + self.objective_ms(job) - needed_ms
+        return open_job.arrived_ms + self.objective_ms(job) - needed_ms
 
     def places(
         self,
@@ -96,12 +111,12 @@
         size: float,
         now_ms: float,
     ) -> Forecast:
-        """Returns when each place of the open workers becomes free.
+        """Returns a forecast with the slots of the workers that accept tasks.
 
         Args:
-            workers: all of them.
-            size: of a place, in thousandths of a core.
-            now_ms: the time.
+            workers: all workers.
+            size: CPU of a slot, in thousandths of a core.
+            now_ms: the current time, in ms.
         """
         free_ms: list[float] = []
         for worker in workers:
@@ -114,26 +129,36 @@
         return Forecast(free_ms)
 
     def add_to(
-        self, forecast: Forecast, opened: OpenJob, now_ms: float
+        self, forecast: Forecast, open_job: OpenJob, now_ms: float
     ) -> float:
-        """Lays what is left of a job on the places; returns its end."""
+        """Adds the remaining tasks of a job to a forecast.
+
+        Returns:
+            How long from now the job would end, in ms.
+        """
         return max(
             (
-                self._add_time(forecast, opened, time, now_ms)
-                for time in range(opened.released)
+                self._add_iteration(forecast, open_job, iteration, now_ms)
+                for iteration in range(open_job.released)
             ),
             default=0.0,
         )
 
-    def _add_time(
-        self, forecast: Forecast, opened: OpenJob, time: int, now_ms: float
+    def _add_iteration(
+        self,
+        forecast: Forecast,
+        open_job: OpenJob,
+        iteration: int,
+        now_ms: float,
     ) -> float:
         ends: list[float] = []
-        for number, step in enumerate(opened.job.steps):
+        for number, step in enumerate(open_job.job.steps):
             ready_ms = max((ends[n] for n in step.after), default=0.0)
-            expected_ms = self._step_ms(opened.job, step)
+            expected_ms = self._step_ms(open_job.job, step)
             end_ms = 0.0
-            for task in opened.tasks[opened.job.stage_of(number, time)]:
+            for task in open_job.tasks[
+                open_job.job.stage_of(number, iteration)
+            ]:
                 task_end_ms = _task_end_ms(
                     forecast, task, expected_ms, ready_ms, now_ms
                 )
@@ -149,6 +174,10 @@
     ready_ms: float,
     now_ms: float,
 ) -> float:
+    """Returns how long from now a task would end, in ms.
+
+    A task that waits for a worker is added to the forecast.
+    """
     if task.state is TaskState.DONE:
         return 0.0
     if task.run is not None:
@@ -156,18 +185,26 @@
     return forecast.add(expected_ms, ready_ms)
 
 
-def _chain_ms(job: Job, times_ms: list[float]) -> float:
-    """Returns the time of the longest chain, given that of each step."""
+def _longest_chain_ms(job: Job, durations_ms: list[float]) -> float:
+    """Returns the duration of the longest chain of steps, in ms.
+
+    Args:
+        job: the job.
+        durations_ms: the duration of each step, in ms.
+    """
     ends: list[float] = []
-    for step, own_ms in zip(job.steps, times_ms, strict=True):
+    for step, duration_ms in zip(job.steps, durations_ms, strict=True):
         before_ms = max((ends[n] for n in step.after), default=0.0)
-        ends.append(before_ms + own_ms)
+        ends.append(before_ms + duration_ms)
     return max(ends, default=0.0)
 
 
 def left_ms(run: Run, now_ms: float) -> float:
-    """Returns how long a run will likely go on."""
-    passed_ms = now_ms - run.since_ms
+    """Returns the expected remaining duration of a run, in ms.
+
+    An overdue run is assumed to take at least as long again as so far.
+    """
+    elapsed_ms = now_ms - run.since_ms
     if run.is_overdue(now_ms):
-        return max(run.expected_ms, passed_ms)
-    return max(0.0, run.expected_ms - passed_ms)
+        return max(run.expected_ms, elapsed_ms)
+    return max(0.0, run.expected_ms - elapsed_ms)
--- a/packages/pool/src/clayfield/pool/advice.py
+++ b/packages/pool/src/clayfield/pool/advice.py
@@ -1,8 +1,9 @@
-"""Which workers may run the steps of advised queues, as the advisor tells.
+"""Tickets of the advisor, which permit workers to run steps of advised jobs.
 
-Of a step, the advisor is asked about some workers at a time, those with most
-room first. What it says of a life of a worker does not change, so no worker
-is asked about twice but to renew a ticket.
+The advisor is an outside service. Tickets for a step are requested for some
+workers at a time, those with the most free CPU first. The advisor's decision
+on a worker doesn't change until the worker restarts, so a request for the same
+worker is repeated only to renew an expired ticket.
 """
 
 from collections.abc import Iterable
@@ -12,119 +13,153 @@
 from clayfield.pool.tasks import OpenJob, Task
 from clayfield.pool.worker import Worker
 
-# Workers in one question; the advisor takes time for each.
-WORKERS_A_CALL = 30
-# Questions under way; the advisor answers one after the other.
-CALLS_AT_ONCE = 4
-# Before a question that got no answer is asked again.
+# Bounds a request's duration, which grows with the number of workers in it.
+MAX_WORKERS_PER_CALL = 30
+# The advisor handles requests one after the other, so more would only queue.
+MAX_OPEN_CALLS = 4
+# Time between a failed request and the next one for the same step.
 RETRY_MS = 200.0
-# A ticket is renewed when it holds for less than this.
-LEAST_VALID_MS = 150.0
+# A ticket is renewed when it is valid for less than this time.
+MIN_VALID_MS = 150.0
 
 
-class _StepAdvice:
-    """What is known of one step of a job, at one time."""
+class _StepTickets:
+    """The tickets for one step of a job, in one iteration of its schedule.
 
-    __slots__ = ("asked", "bad", "next_call_ms", "tickets", "valid_until_ms")
+    Attributes:
+        requested: names of the workers in the open request, None without one.
+        denied: names of the workers that the advisor gave no ticket.
+        next_call_ms: earliest time of the next request, in ms.
+        tickets: tickets by worker name, including expired ones.
+        valid_until_ms: expiry times of the tickets by worker name, in ms.
+    """
+
+    __slots__ = (
+        "denied",
+        "next_call_ms",
+        "requested",
+        "tickets",
+        "valid_until_ms",
+    )
 
     def __init__(self) -> None:
-        self.asked: list[str] | None = None
-        self.bad: set[str] = set()
+        self.requested: list[str] | None = None
+        self.denied: set[str] = set()
         self.next_call_ms = 0.0
         self.tickets: dict[str, str] = {}
         self.valid_until_ms: dict[str, float] = {}
 
 
 class Advisor:
-    """The tickets of the holder's advised jobs.
+    """Requests and caches the tickets of the holder's advised jobs.
 
     Attributes:
-        actions: questions to send; the caller empties it.
+        actions: requests to send; the caller clears it.
     """
 
     def __init__(self, clock: Clock):
         self.actions: list[AskAdvisor] = []
         self._clock = clock
-        self._steps: dict[tuple[str, int], _StepAdvice] = {}
-        self._calls: dict[int, _StepAdvice] = {}
-        self._call = 0
+        self._steps: dict[tuple[str, int], _StepTickets] = {}
+        self._calls: dict[int, _StepTickets] = {}
+        self._last_call = 0
 
     def ticket(self, task: Task, worker: str) -> str:
-        """Returns the ticket with which a worker may run a task, or ""."""
-        known = self._steps.get(_key(task))
-        if known is None:
+        """Returns a valid ticket for a task on a worker, "" if there is none.
+
+        Args:
+            task: the task.
+            worker: name of the worker.
+        """
+        step_tickets = self._steps.get(_key(task))
+        if step_tickets is None:
             return ""
-        until_ms = known.valid_until_ms.get(worker, 0.0)
-        if self._clock.now_ms() > until_ms - LEAST_VALID_MS:
+        until_ms = step_tickets.valid_until_ms.get(worker, 0.0)
+        if self._clock.now_ms() > until_ms - MIN_VALID_MS:
             return ""
-        return known.tickets[worker]
+        return step_tickets.tickets[worker]
 
     def ask(self, task: Task, workers: Iterable[Worker]) -> None:
-        """Asks about workers that may have room for a step.
+        """Requests tickets for workers that are large enough for a step.
+
+        Does nothing while a request for the step is open or delayed, or while
+        too many requests are open.
 
         Args:
-            task: one that found no worker with a ticket.
-            workers: those that are open.
+            task: a task of the step that fits no worker with a ticket.
+            workers: the workers that accept tasks.
         """
-        known = self._steps.setdefault(_key(task), _StepAdvice())
+        step_tickets = self._steps.setdefault(_key(task), _StepTickets())
         now_ms = self._clock.now_ms()
-        is_waiting = known.asked is not None or now_ms < known.next_call_ms
-        if is_waiting or len(self._calls) >= CALLS_AT_ONCE:
+        is_waiting = (
+            step_tickets.requested is not None
+            or now_ms < step_tickets.next_call_ms
+        )
+        if is_waiting or len(self._calls) >= MAX_OPEN_CALLS:
             return
-        names = self._unknown(task, known, workers)
+        names = self._select_workers(task, step_tickets, workers)
         if names:
-            self._send(task, known, names)
+            self._send(task, step_tickets, names)
 
-    def _unknown(
-        self, task: Task, known: _StepAdvice, workers: Iterable[Worker]
+    def _select_workers(
+        self, task: Task, step_tickets: _StepTickets, workers: Iterable[Worker]
     ) -> list[str]:
+        """Returns the names of the workers to request tickets for next."""
         candidates = [
             worker
             for worker in workers
-            if worker.name not in known.bad
+            if worker.name not in step_tickets.denied
             and not self.ticket(task, worker.name)
             and worker.could_fit(task.step)
         ]
         candidates.sort(key=lambda worker: -worker.free_cpu)
-        return [worker.name for worker in candidates[:WORKERS_A_CALL]]
-
-    def _send(self, task: Task, known: _StepAdvice, names: list[str]) -> None:
-        self._call += 1
-        self._calls[self._call] = known
-        known.asked = names
+        return [worker.name for worker in candidates[:MAX_WORKERS_PER_CALL]]
+
+    def _send(
+        self, task: Task, step_tickets: _StepTickets, names: list[str]
+    ) -> None:
+        self._last_call += 1
+        self._calls[self._last_call] = step_tickets
+        step_tickets.requested = names
         self.actions.append(
             AskAdvisor(
-                self._call, task.id.job, task.id.time, task.id.step, names
+                self._last_call, task.id.job, task.id.time, task.id.step, names
             )
         )
 
     def on_advice(self, call: int, advice: Advice) -> None:
-        """Takes the advisor's answer."""
-        known = self._calls.pop(call, None)
-        if known is None:
+        """Handles the advisor's reply.
+
+        Args:
+            call: number of the request.
+            advice: the reply.
+        """
+        step_tickets = self._calls.pop(call, None)
+        if step_tickets is None:
             return
-        asked = known.asked or []
-        known.asked = None
+        requested = step_tickets.requested or []
+        step_tickets.requested = None
         now_ms = self._clock.now_ms()
         if not advice.is_answer:
-            known.next_call_ms = now_ms + RETRY_MS
+            step_tickets.next_call_ms = now_ms + RETRY_MS
             return
-        known.bad.update(set(asked) - advice.tickets.keys())
-        known.tickets.update(advice.tickets)
+        step_tickets.denied.update(set(requested) - advice.tickets.keys())
+        step_tickets.tickets.update(advice.tickets)
         for name in advice.tickets:
-            known.valid_until_ms[name] = now_ms + advice.valid_ms
+            step_tickets.valid_until_ms[name] = now_ms + advice.valid_ms
 
     def on_rejected(self, task: Task, worker: str) -> None:
-        """Learns that a worker did not take a ticket."""
-        known = self._steps.get(_key(task))
-        if known:
-            known.valid_until_ms.pop(worker, None)
+        """Handles a worker's rejection of a ticket: it must be renewed."""
+        step_tickets = self._steps.get(_key(task))
+        if step_tickets:
+            step_tickets.valid_until_ms.pop(worker, None)
 
-    def forget(self, opened: OpenJob) -> None:
-        """Drops what is known of a job's steps."""
-        for stage in range(len(opened.tasks)):
-            self._steps.pop((opened.job.key, stage), None)
+    def forget(self, open_job: OpenJob) -> None:
+        """Removes the tickets of a job."""
+        for stage in range(len(open_job.tasks)):
+            self._steps.pop((open_job.job.key, stage), None)
 
 
 def _key(task: Task) -> tuple[str, int]:
+    """Returns the job key and stage under which a task's tickets are stored."""
     return task.id.job, task.job.job.stage_of(task.id.step, task.id.time)
--- a/packages/pool/src/clayfield/pool/jobtable.py
+++ b/packages/pool/src/clayfield/pool/jobtable.py
@@ -1,8 +1,8 @@
 """The holder's open jobs, and the order in which their tasks are placed.
 
-Jobs that can still end in time go by priority and arrival. Late jobs go after
-them, in the same order. There may be many late jobs, so those are kept sorted
-and are looked at only as far as there is room.
+Jobs that can still end in time are ordered by priority and arrival. Late jobs
+follow in the same order. There may be many late jobs, so they are stored in a
+sorted list that is read only as far as capacity lasts.
 """
 
 import bisect
@@ -14,19 +14,21 @@
 class JobTable:
     """The jobs that have not ended.
 
+    A job is *enqueued* while it may have tasks that wait for a worker.
+
     Attributes:
-        by_key: all of them.
-        on_time: those that can still end in time.
-        timed: those that run at given times.
-        is_changed: whether a job was enqueued since this was last cleared.
+        by_key: all jobs, by key.
+        on_time: the jobs that can still end in time, by key.
+        timed: the jobs with a schedule, by key.
+        is_changed: whether a job was enqueued since the flag was last cleared.
     """
 
     __slots__ = (
         "_late",
         "_late_keys",
         "_queue",
-        "_steps",
-        "_steps_cpu",
+        "_step_count",
+        "_total_step_cpu",
         "by_key",
         "is_changed",
         "on_time",
@@ -41,67 +43,71 @@
         self._queue: dict[str, OpenJob] = {}
         self._late: list[tuple[int, float, str]] = []
         self._late_keys: set[str] = set()
-        self._steps = 0
-        self._steps_cpu = 0
+        self._step_count = 0
+        self._total_step_cpu = 0
 
     # Changes.
 
-    def add(self, opened: OpenJob) -> None:
-        """Takes a job; its tasks are not placed yet."""
-        key = opened.job.key
-        self.by_key[key] = opened
-        self.on_time[key] = opened
-        if opened.job.schedule:
-            self.timed[key] = opened
-        self._count(opened, 1)
-
-    def enqueue(self, opened: OpenJob) -> None:
-        """Has the waiting tasks of a job placed."""
-        self._queue[opened.job.key] = opened
+    def add(self, open_job: OpenJob) -> None:
+        """Adds a job without enqueuing it."""
+        key = open_job.job.key
+        self.by_key[key] = open_job
+        self.on_time[key] = open_job
+        if open_job.job.schedule:
+            self.timed[key] = open_job
+        self._update_totals(open_job, 1)
+
+    def enqueue(self, open_job: OpenJob) -> None:
+        """Enqueues a job, so that its waiting tasks are placed."""
+        self._queue[open_job.job.key] = open_job
         self.is_changed = True
-        if opened.is_late:
-            self._sort_in(opened)
+        if open_job.is_late:
+            self._insert_late(open_job)
 
-    def dequeue(self, opened: OpenJob) -> None:
-        """Learns that no task of a job waits for a worker now."""
-        self._queue.pop(opened.job.key, None)
+    def dequeue(self, open_job: OpenJob) -> None:
+        """Dequeues a job of which no task waits for a worker now."""
+        self._queue.pop(open_job.job.key, None)
 
     def remove(self, key: str) -> None:
-        """Drops a job."""
-        opened = self.by_key.pop(key, None)
+        """Removes a job, if present."""
+        open_job = self.by_key.pop(key, None)
         self.on_time.pop(key, None)
         self.timed.pop(key, None)
         self._queue.pop(key, None)
-        if opened:
-            self._count(opened, -1)
+        if open_job:
+            self._update_totals(open_job, -1)
 
     def turn_late(self, now_ms: float) -> None:
-        """Puts the jobs whose time has run out behind all others."""
-        for key, opened in list(self.on_time.items()):
-            if now_ms > opened.late_at_ms:
-                opened.is_late = True
+        """Moves the jobs that can't end in time any more behind all others."""
+        for key, open_job in list(self.on_time.items()):
+            if now_ms > open_job.late_at_ms:
+                open_job.is_late = True
                 del self.on_time[key]
                 if key in self._queue:
-                    self._sort_in(opened)
+                    self._insert_late(open_job)
 
     def release_due(self, wall_ms: float) -> None:
-        """Has the tasks placed of the times that are due now."""
-        for opened in self.timed.values():
-            if opened.release(wall_ms):
-                self.enqueue(opened)
+        """Enqueues the scheduled jobs of which an iteration has come due.
+
+        Args:
+            wall_ms: the current wall-clock time, in ms.
+        """
+        for open_job in self.timed.values():
+            if open_job.release(wall_ms):
+                self.enqueue(open_job)
 
-    def _sort_in(self, opened: OpenJob) -> None:
-        key = opened.job.key
+    def _insert_late(self, open_job: OpenJob) -> None:
+        key = open_job.job.key
         if key not in self._late_keys:
             self._late_keys.add(key)
-            bisect.insort(self._late, (*opened.turn, key))
+            bisect.insort(self._late, (*open_job.turn, key))
 
-    def _count(self, opened: OpenJob, sign: int) -> None:
-        for step in opened.job.steps:
-            self._steps += sign
-            self._steps_cpu += sign * step.room_cpu
+    def _update_totals(self, open_job: OpenJob, sign: int) -> None:
+        for step in open_job.job.steps:
+            self._step_count += sign
+            self._total_step_cpu += sign * step.room_cpu
 
-    # Questions.
+    # Queries.
 
     @property
     def has_waiting(self) -> bool:
@@ -110,37 +116,48 @@
 
     @property
     def usual_cpu(self) -> float:
-        """What a task asks for on average, in thousandths of a core."""
-        return max(1.0, self._steps_cpu / self._steps) if self._steps else 1.0
+        """Mean CPU of a task over all steps, in thousandths of a core."""
+        return (
+            max(1.0, self._total_step_cpu / self._step_count)
+            if self._step_count
+            else 1.0
+        )
 
     def kept(self) -> list[OpenJob]:
         """Returns the kept jobs."""
-        return [one for one in self.by_key.values() if one.job.is_kept]
+        return [
+            open_job
+            for open_job in self.by_key.values()
+            if open_job.job.is_kept
+        ]
 
     def in_turn(self) -> list[OpenJob]:
-        """Returns the jobs that are on time, in their order."""
-        return sorted(self.on_time.values(), key=lambda opened: opened.turn)
+        """Returns the jobs that are on time, in placement order."""
+        return sorted(self.on_time.values(), key=lambda open_job: open_job.turn)
 
     def waiting(self) -> Iterator[OpenJob]:
-        """Yields the jobs whose tasks may wait, in the order of placement.
+        """Yields the enqueued jobs in placement order.
 
-        A job may be dequeued while it is the one that was yielded last.
+        The job that was yielded last may be dequeued during the iteration.
         """
-        on_time = [one for one in self._queue.values() if not one.is_late]
-        yield from sorted(on_time, key=lambda opened: opened.turn)
+        on_time = [
+            queued for queued in self._queue.values() if not queued.is_late
+        ]
+        yield from sorted(on_time, key=lambda open_job: open_job.turn)
         stale: list[tuple[int, float, str]] = []
         try:
-            for entry in self._late:
-                opened = self._queue.get(entry[-1])
-                if opened is None:
-                    stale.append(entry)
+            for late_entry in self._late:
+                open_job = self._queue.get(late_entry[-1])
+                if open_job is None:
+                    stale.append(late_entry)
                 else:
-                    yield opened
+                    yield open_job
         finally:
-            self._drop(stale)
-
-    def _drop(self, stale: list[tuple[int, float, str]]) -> None:
-        for entry in stale:
-            self._late_keys.discard(entry[-1])
-            place = bisect.bisect_left(self._late, entry)
-            del self._late[place]
+            self._remove_late(stale)
+
+    def _remove_late(self, stale: list[tuple[int, float, str]]) -> None:
+        """Removes entries of dequeued jobs from the sorted list."""
+        for late_entry in stale:
+            self._late_keys.discard(late_entry[-1])
+            position = bisect.bisect_left(self._late, late_entry)
+            del self._late[position]
--- a/packages/pool/src/clayfield/pool/role.py
+++ b/packages/pool/src/clayfield/pool/role.py
@@ -1,8 +1,9 @@
-"""Whether this node holds workers, and which node does for this hall.
+"""The role of an entry node: holder, standby or neither.
 
-The grant names the holder of all workers, and for each other hall a stand-by
-that holds the hall's workers while the hall is cut off: while it hears neither
-the holder nor a control node of another hall, and until the next grant.
+A grant of the control nodes names the holder, which schedules all workers, and
+for each other hall a standby. The standby schedules the hall's workers while
+the hall is partitioned, that is while it has no connection to the holder or to
+a control node of another hall, and from then on until the next grant.
 """
 
 from collections.abc import Iterable
@@ -12,36 +13,38 @@
 
 CONTROL_ROLE = "control"
 ENTRY_ROLE = "entry"
-# A hall counts as cut off when it has heard neither the holder nor a control
-# node elsewhere for so long.
+# A hall counts as partitioned after this time without a connection to the
+# holder or to a control node elsewhere.
 ISOLATED_MS = 300.0
+# Fencing tokens per epoch, so that those of a later grant are higher.
 FENCES_AN_EPOCH = 4
-STANDBY_FENCE = 1
+# Added to the holder's fencing token for the standbys of the same grant.
+STANDBY_FENCE_OFFSET = 1
 
 
 def holder_fence(epoch: int) -> int:
-    """Returns the fence of a grant's holder."""
+    """Returns the fencing token of a grant's holder."""
     return epoch * FENCES_AN_EPOCH
 
 
 def standby_fence(epoch: int) -> int:
-    """Returns the fence of a grant's stand-bys, above the holder's."""
-    return epoch * FENCES_AN_EPOCH + STANDBY_FENCE
+    """Returns the fencing token of a grant's standbys, above the holder's."""
+    return epoch * FENCES_AN_EPOCH + STANDBY_FENCE_OFFSET
 
 
 class Role:
-    """This node's part under the latest grant.
+    """The role of one entry node under the latest grant.
 
     Attributes:
-        grant: the latest grant that it knows.
-        uses_standby: whether the hall's stand-by is asked, not the holder.
+        grant: the latest grant that the node has received.
+        uses_standby: whether the hall's standby takes the holder's place.
     """
 
     __slots__ = (
         "_clock",
         "_hall",
         "_node",
-        "_outside_ms",
+        "_last_outside_ms",
         "grant",
         "uses_standby",
     )
@@ -52,28 +55,28 @@
         self._node = node
         self._hall = hall
         self._clock = clock
-        self._outside_ms = clock.now_ms()
+        self._last_outside_ms = clock.now_ms()
 
     @property
     def holder(self) -> str:
-        """The node to hand jobs to, "" where none is known."""
+        """Name of the node to send jobs to, "" if none is known."""
         if self.uses_standby:
             return self.standby
         return self.grant.holder
 
     @property
     def standby(self) -> str:
-        """The stand-by of this hall, "" where none is named."""
+        """Name of this hall's standby, "" if the grant has none."""
         return self.grant.standbys.get(self._hall, "")
 
     @property
     def is_holder(self) -> bool:
-        """Whether this node holds all workers."""
+        """Whether this node is the holder."""
         return self.grant.holder == self._node
 
     @property
     def is_standby(self) -> bool:
-        """Whether this node holds its hall's workers."""
+        """Whether this node schedules its hall's workers as the standby."""
         return (
             not self.is_holder
             and self.uses_standby
@@ -82,32 +85,36 @@
 
     @property
     def fence(self) -> int:
-        """The fence of this node's orders."""
+        """Fencing token of this node's requests to workers."""
         epoch = self.grant.epoch
         return holder_fence(epoch) if self.is_holder else standby_fence(epoch)
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this hall seems to be cut off."""
-        return self._clock.now_ms() - self._outside_ms > ISOLATED_MS
+        """Whether this hall seems to be partitioned from the others."""
+        return self._clock.now_ms() - self._last_outside_ms > ISOLATED_MS
 
     def on_grant(self, grant: Grant) -> bool:
-        """Takes a grant; returns whether the holder stays the same."""
+        """Handles a new grant.
+
+        Returns:
+            Whether jobs continue to be sent to the same node.
+        """
         is_same = grant.holder == self.grant.holder and not self.uses_standby
         self.grant = grant
-        # A grant is proof of a majority that was just heard.
-        self._outside_ms = self._clock.now_ms()
+        # A grant proves a recent connection to a majority of control nodes.
+        self._last_outside_ms = self._clock.now_ms()
         self.uses_standby = False
         return is_same
 
     def note_outside(self, greetings: Iterable[NodeGreeting]) -> None:
-        """Notes whether a node that is not cut off with this hall is heard.
+        """Records whether a node outside of this hall's partition is connected.
 
         Args:
-            greetings: of the nodes that are connected.
+            greetings: the greetings of the connected nodes.
         """
         if self.is_holder or any(map(self._is_outside, greetings)):
-            self._outside_ms = self._clock.now_ms()
+            self._last_outside_ms = self._clock.now_ms()
 
     def _is_outside(self, greeting: NodeGreeting) -> bool:
         is_control = greeting.role == CONTROL_ROLE
@@ -116,6 +123,6 @@
         return greeting.node == self.grant.holder
 
     def tick(self) -> None:
-        """Turns to the stand-by once the hall is cut off."""
+        """Switches to the standby once the hall is partitioned."""
         if self.grant.epoch and self.is_isolated:
             self.uses_standby = True
