--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Estimates, forecasts and the admission of jobs of steps."""
+"""Tests of duration estimates, forecasts and the admission of jobs."""
 
 import random
 
@@ -10,18 +10,18 @@
 from clayfield.wire.jobs import Verdict
 
 
-def test_estimates_that_tell_little_give_way_to_the_usual_time():
+def test_uninformative_estimates_regress_to_the_mean_duration():
     rng = random.Random(7)
     estimates = Estimates()
     for _ in range(500):
         true_ms = 100.0 * rng.lognormvariate(0.0, 0.2)
-        said_ms = true_ms * rng.lognormvariate(0.0, 0.4)
-        estimates.on_end("queue", said_ms, true_ms)
+        estimate_ms = true_ms * rng.lognormvariate(0.0, 0.4)
+        estimates.on_end("queue", estimate_ms, true_ms)
     assert 80 <= estimates.expected_ms("queue", 40.0) <= 100
     assert 100 <= estimates.expected_ms("queue", 250.0) <= 130
 
 
-def test_estimates_that_are_right_are_kept():
+def test_estimates_off_by_a_constant_factor_are_rescaled():
     rng = random.Random(7)
     estimates = Estimates()
     for _ in range(500):
@@ -31,7 +31,7 @@
     assert estimates.expected_ms("queue", 100.0) == pytest.approx(200, rel=0.1)
 
 
-def test_a_forecast_fills_the_places_that_are_free_first():
+def test_forecast_uses_the_slots_that_become_free_first():
     forecast = Forecast([0.0, 0.0, 50.0])
     assert forecast.add(100.0) == 100.0
     assert forecast.add(100.0) == 100.0
@@ -39,7 +39,7 @@
     assert forecast.add(10.0, ready_ms=300.0) == 310.0
 
 
-def test_later_steps_count_when_jobs_are_admitted():
+def test_admission_accounts_for_later_steps():
     site = PoolSite(("a",), 2, seed=1)
     site.grant("a-0/1", {})
     site.run(200)
@@ -47,8 +47,8 @@
         site.submit("a-0/1", f"job-{number}", count=4, steps=3)
     site.run(1000)
     verdicts = [ended.verdict for _, ended in site.ended.values()]
-    done = verdicts.count(Verdict.COMPLETED)
-    assert done + verdicts.count(Verdict.REFUSED) == 8
-    in_time = [at_ms for at_ms, ended in site.ended.values()]
-    assert done >= 1
-    assert max(in_time) <= 200 + 1.6 * 180 + 60 + 30
+    completed_count = verdicts.count(Verdict.COMPLETED)
+    assert completed_count + verdicts.count(Verdict.REFUSED) == 8
+    end_times_ms = [at_ms for at_ms, ended in site.ended.values()]
+    assert completed_count >= 1
+    assert max(end_times_ms) <= 200 + 1.6 * 180 + 60 + 30
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Advised jobs on a manual clock: only where the advisor lets them run."""
+"""Tests that advised jobs run only with valid tickets of the advisor."""
 
 import msgspec
 import pytest
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_advised_jobs_run_where_the_advisor_lets_them(seed):
+def test_advised_jobs_run_only_with_valid_tickets(seed):
     site = granted_site(seed, workers=3)
     keys = [f"job-{number}" for number in range(6)]
     for key in keys:
@@ -33,7 +33,7 @@
     assert site.advisor.asked <= 2 * len(keys) * 2
 
 
-def test_a_ticket_serves_all_tasks_of_its_step():
+def test_one_request_covers_all_tasks_of_a_step():
     site = granted_site(workers=3)
     _submit(site, "job", count=6)
     site.run(1500)
@@ -41,7 +41,7 @@
     assert site.advisor.asked == 1
 
 
-def test_a_ticket_that_holds_no_more_is_asked_for_again():
+def test_expired_ticket_is_requested_again():
     site = granted_site(workers=3, task_ms=1500)
     template = msgspec.structs.replace(USUAL_STEP, estimate_ms=1500.0)
     _submit(site, "job", count=16, template=template)
@@ -51,7 +51,7 @@
     assert site.advisor.asked > 1
 
 
-def test_a_busy_advisor_is_asked_again_but_not_at_once():
+def test_job_waits_while_the_advisor_is_busy():
     site = granted_site(workers=3)
     site.advisor.is_busy = True
     _submit(site, "job")
@@ -62,7 +62,7 @@
     _assert_completed(site, "job")
 
 
-def test_a_gang_is_placed_where_the_advisor_lets_it():
+def test_gang_runs_only_with_valid_tickets():
     site = granted_site(workers=3)
     template = msgspec.structs.replace(USUAL_STEP, is_gang=True)
     _submit(site, "job", count=4, template=template)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_new_holder_asks_anew(seed):
+def test_new_holder_requests_tickets_again(seed):
     site = granted_site(seed, workers=3)
     _submit(site, "job", steps=3)
     site.run(50 + 20 * seed)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -1,4 +1,8 @@
-"""Kept jobs on a manual clock: stored before they run, never run twice."""
+"""Tests of kept jobs, across failures of holders, halls and workers.
+
+They guard against a task that starts before its job is stored, that runs twice
+at the same time, or that is lost after its job was accepted.
+"""
 
 import random
 
@@ -19,8 +23,8 @@
 from clayfield.wire.ledger import AcceptJob, CancelAccepted, EndTask
 
 SETTLE_MS = 8000
-# A new holder finds what runs, then stops it.
-STOPPED_MS = 200
+# Within this time a new holder finds and stops the runs of a cancelled job.
+STOP_LIMIT_MS = 200
 
 
 def _step(estimate_ms, **fields):
@@ -35,29 +39,32 @@
 
 def _accepted(site):
     verdicts = _verdicts(site)
-    return {key for key, one in verdicts.items() if one is Verdict.ACCEPTED}
+    return {
+        key for key, verdict in verdicts.items() if verdict is Verdict.ACCEPTED
+    }
 
 
-def _ask_all(site, keys, node):
+def _request_states(site, keys, node):
     for key in sorted(keys):
         site.ask(node, key)
     site.run(300)
     return {key: site.states.get(key) for key in keys}
 
 
-def _assert_sound(site):
+def _assert_no_violations(site):
     assert site.faults() == []
     assert site.started_after_done() == []
 
 
-def _spread(site):
+def _vary_durations(site):
+    """Varies task durations; workers also accept tasks beyond capacity."""
     for worker in site.workers.values():
         worker.spread = 0.8
         worker.is_guarding = False
 
 
 @pytest.mark.parametrize("node", ["a-0/1", "a-1/1", "c-1/1"])
-def test_a_kept_job_is_accepted_at_once_and_told_of_when_it_has_ended(node):
+def test_kept_job_is_accepted_immediately_and_reports_its_end(node):
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 150
@@ -68,7 +75,7 @@
     site.run(130)
     assert site.states == {"job": JobState.RUNNING}
     site.run(250)
-    assert _ask_all(site, {"job", "none"}, "b-1/1") == {
+    assert _request_states(site, {"job", "none"}, "b-1/1") == {
         "job": JobState.COMPLETED,
         "none": None,
     }
@@ -76,7 +83,7 @@
     assert len(site.ran) == 6
 
 
-def test_a_question_about_a_running_job_waits_for_its_end():
+def test_state_reply_for_a_running_job_is_delayed_until_its_end():
     site = granted_site()
     site.submit("a-1/1", "job", is_kept=True)
     site.run(45)
@@ -87,7 +94,7 @@
     assert site.states == {"job": JobState.COMPLETED}
 
 
-def test_nothing_of_a_job_starts_before_it_is_stored():
+def test_no_task_starts_before_the_job_is_stored():
     site = granted_site()
     site.leader.is_silent = True
     site.submit("a-1/1", "job", is_kept=True)
@@ -100,7 +107,7 @@
     assert len(site.ran) == 2
 
 
-def test_a_holder_that_no_leader_answers_refuses_at_once():
+def test_holder_without_authority_refuses_new_jobs():
     site = granted_site()
     site.leader.is_silent = True
     site.run(2000)
@@ -114,7 +121,7 @@
     assert site.ran == []
 
 
-def test_what_was_never_sent_to_a_silent_leader_is_refused_at_once():
+def test_unsent_job_is_refused_when_authority_is_lost():
     site = granted_site()
     site.leader.is_silent = True
     site.submit("a-1/1", "sent", is_kept=True)
@@ -128,7 +135,7 @@
     assert {ran.task_id.job for ran in site.ran} == {"sent"}
 
 
-def test_a_new_holder_that_cannot_load_refuses_what_was_handed_to_no_other():
+def test_new_holder_without_loaded_jobs_refuses_only_new_jobs():
     site = granted_site()
     site.leader.is_silent = True
     site.submit("c-1/1", "handed", is_kept=True)
@@ -145,7 +152,7 @@
     assert {ran.task_id.job for ran in site.ran} == {"handed"}
 
 
-def test_a_refusal_of_a_holder_that_was_followed_is_not_passed_on():
+def test_refusal_by_a_former_holder_is_ignored():
     site = granted_site()
     site.leader.cut_off.add(HOLDER)
     site.submit("c-1/1", "sent", is_kept=True)
@@ -159,10 +166,10 @@
         "sent": Verdict.ACCEPTED,
         "unsent": Verdict.ACCEPTED,
     }
-    _assert_sound(site)
+    _assert_no_violations(site)
 
 
-def test_a_holder_that_no_leader_answers_stops_what_it_runs():
+def test_holder_without_authority_stops_its_runs():
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 10_000
@@ -175,11 +182,13 @@
     site.leader.is_silent = False
     site.run(1000)
     assert [ran.kind for ran in site.ran[2:]] == [None, None]
-    _assert_sound(site)
+    _assert_no_violations(site)
 
 
 @pytest.mark.parametrize("is_checkpointing", [True, False])
-def test_what_was_stopped_goes_on_from_its_checkpoint(is_checkpointing):
+def test_stopped_task_resumes_from_its_checkpoint_if_it_has_one(
+    is_checkpointing,
+):
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 4000
@@ -190,17 +199,21 @@
     site.run(1800)
     site.leader.is_silent = False
     site.run(6000)
-    _assert_sound(site)
-    assert _ask_all(site, {"job"}, "c-1/1") == {"job": JobState.COMPLETED}
-    again = [ran for ran in site.ran if ran.number > 1]
-    assert len(again) == 2
-    took_ms = {round(ran.end_ms - ran.start_ms + ran.from_ms) for ran in again}
-    assert took_ms == {4000}
-    assert all((ran.from_ms > 1000) == is_checkpointing for ran in again)
+    _assert_no_violations(site)
+    assert _request_states(site, {"job"}, "c-1/1") == {
+        "job": JobState.COMPLETED
+    }
+    resumed = [ran for ran in site.ran if ran.number > 1]
+    assert len(resumed) == 2
+    durations_ms = {
+        round(ran.end_ms - ran.start_ms + ran.from_ms) for ran in resumed
+    }
+    assert durations_ms == {4000}
+    assert all((ran.from_ms > 1000) == is_checkpointing for ran in resumed)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_new_holder_goes_on_from_the_checkpoints_that_workers_tell(seed):
+def test_new_holder_resumes_from_checkpoints_reported_by_workers(seed):
     site = granted_site(seed)
     for worker in site.workers.values():
         worker.task_ms = 1500
@@ -216,13 +229,13 @@
     site.run(100)
     site.silence("worker-a-0")
     site.run(SETTLE_MS)
-    _assert_sound(site)
+    _assert_no_violations(site)
     assert any(ran.from_ms for ran in site.ran)
-    states = _ask_all(site, _accepted(site), "c-1/1")
+    states = _request_states(site, _accepted(site), "c-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
-def test_a_job_that_is_sent_again_stays_one_job():
+def test_job_submitted_again_runs_once():
     site = granted_site()
     site.submit("a-1/1", "job", is_kept=True)
     site.submit("b-1/1", "job", is_kept=True)
@@ -233,12 +246,14 @@
     assert len(site.ran) == 2
 
 
-def test_a_caller_that_leaves_does_not_end_its_job():
+def test_kept_job_completes_after_its_caller_disconnects():
     site = granted_site()
     site.submit("a-1/1", "job", is_kept=True)
     site.entries["a-1/1"].callers.leave("job", 1)
     site.run(400)
-    assert _ask_all(site, {"job"}, "b-1/1") == {"job": JobState.COMPLETED}
+    assert _request_states(site, {"job"}, "b-1/1") == {
+        "job": JobState.COMPLETED
+    }
 
 
 def _submit_many(site, count, gap_ms, steps=2):
@@ -249,9 +264,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_killed_holder_is_followed_and_every_accepted_job_ends(seed):
+def test_accepted_jobs_complete_after_the_holder_is_killed(seed):
     site = granted_site(seed)
-    _spread(site)
+    _vary_durations(site)
     _submit_many(site, 10, 30)
     site.run(seed)
     site.kill(HOLDER)
@@ -259,17 +274,17 @@
     site.grant("b-0/1", {"c": "c-0/1"})
     _submit_many(site, 5, 30)
     site.run(SETTLE_MS)
-    _assert_sound(site)
+    _assert_no_violations(site)
     accepted = _accepted(site)
     assert len(accepted) >= 10
-    states = _ask_all(site, accepted, "c-1/1")
+    states = _request_states(site, accepted, "c-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_holder_that_is_cut_off_is_followed_without_a_task_run_twice(seed):
+def test_no_task_runs_twice_when_the_holder_is_partitioned(seed):
     site = granted_site(seed)
-    _spread(site)
+    _vary_durations(site)
     for worker in site.workers.values():
         worker.task_ms = 400 + 100 * (seed % 5)
     _submit_many(site, 8, 40)
@@ -281,17 +296,17 @@
     site.run(1500 + 200 * seed)
     site.heal("a")
     site.run(SETTLE_MS)
-    _assert_sound(site)
-    states = _ask_all(site, _accepted(site), "c-1/1")
+    _assert_no_violations(site)
+    states = _request_states(site, _accepted(site), "c-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("hall", ["b", "c"])
-def test_a_hall_that_is_cut_off_and_rejoins_runs_no_task_twice(hall, seed):
+def test_no_task_runs_twice_when_a_partitioned_hall_rejoins(hall, seed):
     site = granted_site(seed)
     site.leader.hall = "a"
-    _spread(site)
+    _vary_durations(site)
     for worker in site.workers.values():
         worker.task_ms = 300 + 150 * (seed % 4)
     _submit_many(site, 8, 40)
@@ -304,12 +319,12 @@
     site.grant(HOLDER, STANDBYS)
     _submit_many(site, 6, 40)
     site.run(SETTLE_MS)
-    _assert_sound(site)
-    states = _ask_all(site, _accepted(site), "a-1/1")
+    _assert_no_violations(site)
+    states = _request_states(site, _accepted(site), "a-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
-def test_what_runs_on_a_worker_that_falls_silent_runs_elsewhere_in_time():
+def test_tasks_of_an_unreachable_worker_run_elsewhere():
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 600
@@ -318,14 +333,16 @@
     assert {ran.worker for ran in site.ran} == set(site.workers)
     site.silence("worker-b-0")
     site.run(3500)
-    _assert_sound(site)
-    assert _ask_all(site, {"job"}, "c-1/1") == {"job": JobState.COMPLETED}
+    _assert_no_violations(site)
+    assert _request_states(site, {"job"}, "c-1/1") == {
+        "job": JobState.COMPLETED
+    }
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_orders_carried_out_late_and_a_killed_holder_run_no_task_twice(seed):
+def test_no_task_runs_twice_after_delayed_starts_and_a_killed_holder(seed):
     site = granted_site(seed)
-    _spread(site)
+    _vary_durations(site)
     for worker in site.workers.values():
         worker.late_share = 0.2
     _submit_many(site, 8, 60)
@@ -334,13 +351,13 @@
     site.grant("b-0/1", {"c": "c-0/1"})
     _submit_many(site, 8, 60)
     site.run(SETTLE_MS * 2)
-    _assert_sound(site)
-    states = _ask_all(site, _accepted(site), "c-1/1")
+    _assert_no_violations(site)
+    states = _request_states(site, _accepted(site), "c-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
 @pytest.mark.parametrize("kill_ms", [0, 60, 75, 150, 400])
-def test_a_task_fails_as_often_as_allowed_also_under_two_holders(kill_ms):
+def test_failures_of_a_task_are_counted_across_holders(kill_ms):
     site = granted_site()
     for worker in site.workers.values():
         worker.is_failing = True
@@ -353,30 +370,30 @@
     site.run(SETTLE_MS)
     failed = [ran for ran in site.ran if ran.kind is EndKind.FAILED]
     assert len(failed) == 3
-    assert _ask_all(site, {"job"}, "c-1/1") == {"job": JobState.FAILED}
+    assert _request_states(site, {"job"}, "c-1/1") == {"job": JobState.FAILED}
 
 
-def test_an_order_that_a_worker_rejects_leaves_no_end_to_be_stored():
+def test_rejected_start_request_leaves_no_end_to_be_stored():
     site = granted_site()
-    seen = []
+    confirmed_sequences = []
     for worker in site.workers.values():
         hold = worker.hold
 
-        def note_hold(order, answer, hold=hold):
-            seen.append(order.seen_upto)
+        def record_hold(order, answer, hold=hold):
+            confirmed_sequences.append(order.seen_upto)
             hold(order, answer)
 
-        worker.hold = note_hold
+        worker.hold = record_hold
         worker.start = lambda order: OrderResult.BAD_ORDER
     site.leader.commit_ms = 600
     site.submit("a-1/1", "job", count=1, is_kept=True)
     site.run(5000)
-    assert min(seen) == 0
-    assert _ask_all(site, {"job"}, "c-1/1") == {"job": JobState.FAILED}
+    assert min(confirmed_sequences) == 0
+    assert _request_states(site, {"job"}, "c-1/1") == {"job": JobState.FAILED}
 
 
 @pytest.mark.parametrize("kill_ms", [0, 1, 13, 30, 200])
-def test_a_cancelled_job_stops_and_stays_cancelled(kill_ms):
+def test_cancelled_job_stops_and_stays_cancelled(kill_ms):
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 2000
@@ -395,14 +412,14 @@
     acked_ms = site.cancelled["job"]
     runs = [ran for ran in site.ran if ran.task_id.job == "job"]
     assert all(ran.start_ms <= acked_ms for ran in runs)
-    assert all(ran.end_ms <= acked_ms + STOPPED_MS for ran in runs)
-    assert _ask_all(site, {"job", "other"}, "c-1/1") == {
+    assert all(ran.end_ms <= acked_ms + STOP_LIMIT_MS for ran in runs)
+    assert _request_states(site, {"job", "other"}, "c-1/1") == {
         "job": JobState.CANCELLED,
         "other": JobState.COMPLETED,
     }
 
 
-def test_a_cancel_of_a_job_that_is_not_known_says_so():
+def test_only_a_known_job_can_be_cancelled():
     site = granted_site()
     site.cancel("b-1/1", "none")
     site.run(50)
@@ -414,7 +431,7 @@
     assert list(site.cancelled) == ["job"]
 
 
-def test_every_entry_tells_how_many_jobs_wait():
+def test_every_entry_reports_the_number_of_waiting_jobs():
     site = granted_site()
     for worker in site.workers.values():
         worker.task_ms = 3000
@@ -423,14 +440,14 @@
         site.run(30)
     assert len(_accepted(site)) == 7
     site.run(400)
-    waiting = {one.waiting_of("queue") for one in site.entries.values()}
+    waiting = {entry.waiting_of("queue") for entry in site.entries.values()}
     assert waiting == {1}
 
 
-# The record itself.
+# The job store.
 
 
-def _book_job(key="job", count=2, steps=1, max_attempts=2):
+def _make_job(key="job", count=2, steps=1, max_attempts=2):
     step = Step(count, 100)
     return Job(
         key,
@@ -447,17 +464,17 @@
     )
 
 
-def _book(*changes):
-    book = JobBook(ManualClock())
-    book.apply(changes)
-    return book
+def _make_job_store(*changes):
+    job_store = JobBook(ManualClock())
+    job_store.apply(changes)
+    return job_store
 
 
 DONE_0 = EndTask("job", 0, 0, 1, True)
 DONE_1 = EndTask("job", 0, 1, 1, True)
 FAILED_1 = EndTask("job", 0, 0, 1, False)
 FAILED_2 = EndTask("job", 0, 0, 2, False)
-ACCEPT = AcceptJob(_book_job())
+ACCEPT = AcceptJob(_make_job())
 CANCEL = CancelAccepted("job")
 
 
@@ -475,17 +492,17 @@
         ((CANCEL, DONE_0), None),
     ],
 )
-def test_what_a_job_comes_to(changes, state):
-    book = _book(*changes)
-    assert book.ended().get("job") is state
-    is_open = any(kept.job.key == "job" for kept in book.open_jobs())
+def test_job_state_after_a_sequence_of_changes(changes, state):
+    job_store = _make_job_store(*changes)
+    assert job_store.ended().get("job") is state
+    is_open = any(kept.job.key == "job" for kept in job_store.open_jobs())
     assert is_open == (state is None and ACCEPT in changes)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_restored_record_goes_on_as_the_one_it_was_taken_from(seed):
+def test_restored_job_store_continues_like_the_original(seed):
     rng = random.Random(seed)
-    accepted = [AcceptJob(_book_job(f"job-{n}", 3, 2)) for n in range(5)]
+    accepted = [AcceptJob(_make_job(f"job-{n}", 3, 2)) for n in range(5)]
     changes = accepted + [
         EndTask(
             f"job-{rng.randrange(5)}",
@@ -496,26 +513,26 @@
         )
         for _ in range(60)
     ]
-    cut = rng.randrange(5, len(changes))
-    whole = _book(*changes)
-    first = _book(*changes[:cut])
-    second = JobBook(ManualClock())
-    second.restore(first.image())
-    second.apply(tuple(changes[cut:]))
-    assert second.ended() == whole.ended()
-    assert [one.done for one in second.open_jobs()] == [
-        one.done for one in whole.open_jobs()
+    split = rng.randrange(5, len(changes))
+    original = _make_job_store(*changes)
+    partial = _make_job_store(*changes[:split])
+    restored = JobBook(ManualClock())
+    restored.restore(partial.image())
+    restored.apply(tuple(changes[split:]))
+    assert restored.ended() == original.ended()
+    assert [kept.done for kept in restored.open_jobs()] == [
+        kept.done for kept in original.open_jobs()
     ]
 
 
-def test_ended_jobs_are_forgotten_by_their_age():
+def test_ended_jobs_are_removed_by_their_age():
     clock = ManualClock()
-    book = JobBook(clock)
+    job_store = JobBook(clock)
     for number in range(4):
         clock.advance(100)
         key = f"job-{number}"
-        book.apply((AcceptJob(_book_job(key)), CancelAccepted(key)))
-    old = book.ended_before(301, 10)
-    assert old == ("job-0", "job-1", "job-2")
-    book.forget(old[:2])
-    assert set(book.ended()) == {"job-2", "job-3"}
+        job_store.apply((AcceptJob(_make_job(key)), CancelAccepted(key)))
+    expired = job_store.ended_before(301, 10)
+    assert expired == ("job-0", "job-1", "job-2")
+    job_store.forget(expired[:2])
+    assert set(job_store.ended()) == {"job-2", "job-3"}
