--- a/packages/pool/src/clayfield/pool/admission.py
+++ b/packages/pool/src/clayfield/pool/admission.py
@@ -81,6 +81,7 @@
         return self._step_ms(job, task.step)
 
     def _step_ms(self, job: Job, step: Step) -> float:
+        """Returns the expected duration of a task of a step, in ms."""
         if step.is_lasting:
             return math.inf
         return self._estimates.expected_ms(job.queue, step.estimate_ms)
@@ -151,6 +152,7 @@
         iteration: int,
         now_ms: float,
     ) -> float:
+        """Adds one iteration of a job to a forecast; returns its end."""
         ends: list[float] = []
         for number, step in enumerate(open_job.job.steps):
             ready_ms = max((ends[n] for n in step.after), default=0.0)
--- a/packages/pool/src/clayfield/pool/callers.py
+++ b/packages/pool/src/clayfield/pool/callers.py
@@ -217,12 +217,12 @@
                 pending.sent_to = ""
 
     def hand_over_all(self) -> None:
-        """Sends all jobs that the current holder was not sent."""
+        """Sends all jobs that were not sent to the current holder."""
         for pending in list(self._pending.values()):
             self._forward(pending)
 
     def _forward(self, pending: _Pending) -> None:
-        """Sends a job to the holder if it was not sent there and may be."""
+        """Sends a job to the holder, unless it was sent there or must wait."""
         link = self._link
         if pending.sent_to == link.holder or not link.is_holder_reachable:
             return
@@ -305,6 +305,7 @@
                 self._answer_unknown(request)
 
     def _tick_pending(self, pending: _Pending, now_ms: float) -> None:
+        """Sends a job if it may be sent, and ends it after its timeout."""
         self._forward(pending)
         age_ms = now_ms - pending.arrived_ms
         if age_ms > pending.job.timeout_ms + HOLDER_SLACK_MS:
--- a/packages/pool/src/clayfield/pool/dispatcher.py
+++ b/packages/pool/src/clayfield/pool/dispatcher.py
@@ -171,6 +171,7 @@
         self._jobs.enqueue(open_job)
 
     def _on_submit_kept(self, entry: str, submit: SubmitJob) -> None:
+        """Passes on a kept job, or refuses it on a standby."""
         if self.kept:
             self.kept.on_submit(entry, submit)
             return
@@ -363,7 +364,7 @@
                 self.fleet.stop(run)
 
     def _resolve_inherited(self, now_ms: float) -> None:
-        """Assigns inherited runs to jobs that an earlier holder was sent.
+        """Assigns inherited runs to jobs that were sent to an earlier holder.
 
         Each job waits until every worker was polled after the job arrived, and
         is aborted if that takes longer than `SYNC_TIMEOUT_MS`.
@@ -455,6 +456,7 @@
         return len(tasks)
 
     def _start(self, worker: Worker, task: Task) -> None:
+        """Starts the next run of a task on a worker."""
         open_job = task.job
         expected_ms = self._admission.expected_ms(open_job.job, task)
         ticket = ""
--- a/packages/pool/src/clayfield/pool/entry.py
+++ b/packages/pool/src/clayfield/pool/entry.py
@@ -258,6 +258,7 @@
         return not self._is_hall_only or info.hall == self.hall
 
     def _on_submit(self, node: str, submit: SubmitJob) -> None:
+        """Passes a job to the dispatcher, or defers it until the grant."""
         if self.dispatcher and submit.epoch <= self.epoch:
             self.dispatcher.on_submit(node, submit)
         else:
@@ -304,6 +305,7 @@
         return True
 
     def _create_dispatcher(self) -> None:
+        """Creates the dispatcher for the current role and grant."""
         ledger: JobLedger | None = None
         if not self._is_hall_only:
             ledger = JobLedger(self._clock, self.epoch)
--- a/packages/pool/src/clayfield/pool/intake.py
+++ b/packages/pool/src/clayfield/pool/intake.py
@@ -116,6 +116,7 @@
         return RoomSearch(workers, self._advisor, now_ms).has_room_for(job)
 
     def _forecast(self, now_ms: float) -> Forecast:
+        """Returns a forecast without any waiting tasks."""
         return self._admission.places(
             self._fleet.workers.values(), self._jobs.usual_cpu, now_ms
         )
--- a/packages/pool/src/clayfield/pool/jobtable.py
+++ b/packages/pool/src/clayfield/pool/jobtable.py
@@ -97,12 +97,14 @@
                 self.enqueue(open_job)
 
     def _insert_late(self, open_job: OpenJob) -> None:
+        """Adds a late job to the sorted list, unless it is in it."""
         key = open_job.job.key
         if key not in self._late_keys:
             self._late_keys.add(key)
             bisect.insort(self._late, (*open_job.turn, key))
 
     def _update_totals(self, open_job: OpenJob, sign: int) -> None:
+        """Adds (sign 1) or subtracts (sign -1) a job's steps in the totals."""
         for step in open_job.job.steps:
             self._step_count += sign
             self._total_step_cpu += sign * step.room_cpu
--- a/packages/pool/src/clayfield/pool/kept.py
+++ b/packages/pool/src/clayfield/pool/kept.py
@@ -175,6 +175,7 @@
             self._deferred_submits.append((entry, submit))
 
     def _accept(self, entry: str, submit: SubmitJob) -> None:
+        """Opens an admitted job and writes its acceptance; else refuses it."""
         job = submit.job
         if not self.ledger.has_authority:
             self._refuse(entry, job.key, Reason.NOT_STORED)
@@ -222,7 +223,7 @@
     def on_ask(self, entry: str, message: AskState) -> None:
         """Handles an entry node's request for the state of a job.
 
-        Callers usually poll at about the time when a job ends, so the reply
+        Callers usually send it at about the time when a job ends, so the reply
         for a running job is delayed a little in case it ends meanwhile.
         """
         pending = _StateRequest(entry, message, self._clock.now_ms())
@@ -250,6 +251,7 @@
                 del self._state_requests[key]
 
     def _state_of(self, key: str) -> JobState | None:
+        """Returns the state of a kept job, None if it is not known."""
         open_job = self._jobs.by_key.get(key)
         if open_job is not None and open_job.job.is_kept:
             return JobState.RUNNING if open_job.is_offered else JobState.QUEUED
@@ -341,6 +343,7 @@
     def _decide_outcome(
         self, open_job: OpenJob, counted_tasks: list[Task]
     ) -> None:
+        """Sets the outcome if all tasks are done or one failed too often."""
         if open_job.outcome is not None:
             return
         failure_count = max(task.failures for task in counted_tasks)
@@ -358,6 +361,7 @@
         self._deferred_ends.append((row, worker))
 
     def _apply_inherited_end(self, row: EndedRow, worker: Worker) -> None:
+        """Applies an inherited run's end, or ignores it if it has no effect."""
         open_job = self._jobs.by_key.get(row.task_id.job)
         if open_job is None or not open_job.job.is_kept:
             worker.on_stored(row.sequence)
@@ -463,6 +467,7 @@
         self._jobs.enqueue(open_job)
 
     def _on_end_stored(self, key: str) -> None:
+        """Ends a job once its outcome and all ends of its runs are stored."""
         open_job = self._jobs.by_key.get(key)
         if open_job is None:
             return
--- a/packages/pool/src/clayfield/pool/ledger.py
+++ b/packages/pool/src/clayfield/pool/ledger.py
@@ -193,6 +193,7 @@
             self._send(batch, now_ms)
 
     def _mark_unsent(self) -> None:
+        """Marks the write in flight to be sent again at the next flush."""
         if self._in_flight:
             self._in_flight.sent_ms = None
 
@@ -215,4 +216,5 @@
 
 
 def _key_of(change: JobChange) -> str:
+    """Returns the key of the job that a change applies to."""
     return change.job.key if isinstance(change, AcceptJob) else change.key
--- a/packages/pool/src/clayfield/pool/role.py
+++ b/packages/pool/src/clayfield/pool/role.py
@@ -117,6 +117,7 @@
             self._last_outside_ms = self._clock.now_ms()
 
     def _is_outside(self, greeting: NodeGreeting) -> bool:
+        """Returns whether a node shows that the hall is not partitioned."""
         is_control = greeting.role == CONTROL_ROLE
         if is_control and greeting.hall != self._hall:
             return True
