--- a/packages/state/src/clayfield/state/_elections.py
+++ b/packages/state/src/clayfield/state/_elections.py
@@ -1,30 +1,31 @@
-"""When a node stands for leader, and who votes for it."""
+"""Election timer and vote count of one node of a group."""
 
 import random
 
 from clayfield.base import Clock
 
-# When a leader's stream ends, its voters stand for leader this far apart: by
-# turns rather than at random, since ticks would make random times meet.
-HASTE_MS = 80.0
+# Time between the elections that successive voters start when the connection
+# of the leader ends. Random delays would often fall on the same tick.
+CANDIDACY_STAGGER_MS = 80.0
 LONG_AGO_MS = -1e12
 
 
 class Election:
-    """One node's part in the elections of its group.
+    """One node's election timer, and the votes it has received.
 
     Attributes:
-        at_ms: when the node stands next, unless it hears a leader before.
+        due_ms: time at which the node starts an election unless a leader
+            contacts it before.
     """
 
     __slots__ = (
         "_clock",
         "_election_ms",
-        "_heard_leader_ms",
-        "_patience",
+        "_election_timeout_factor",
+        "_leader_contact_ms",
         "_rng",
         "_votes",
-        "at_ms",
+        "due_ms",
     )
 
     def __init__(
@@ -34,70 +35,70 @@
         election_ms: float,
         patience: float,
     ):
-        """Starts with an election ahead.
+        """Schedules an election after a random election timeout.
 
         Args:
-            clock: the time.
-            rng: spreads the election times.
-            election_ms: silence after which a voter may ask for votes.
-            patience: multiplies the election time.
+            clock: source of the current time.
+            rng: randomizes the election timeout.
+            election_ms: election timeout, in ms.
+            patience: factor of the election timeout.
         """
         self._clock = clock
         self._rng = rng
         self._election_ms = election_ms
-        self._patience = patience
-        self._heard_leader_ms = LONG_AGO_MS
+        self._election_timeout_factor = patience
+        self._leader_contact_ms = LONG_AGO_MS
         self._votes: set[str] = set()
-        self.at_ms = 0.0
+        self.due_ms = 0.0
         self.put_off()
 
-    # Time.
+    # Timer.
 
     @property
     def is_due(self) -> bool:
-        """Whether it is time to stand."""
-        return self._clock.now_ms() >= self.at_ms
+        """Whether it is time to start an election."""
+        return self._clock.now_ms() >= self.due_ms
 
     @property
-    def hears_leader(self) -> bool:
-        """Whether a leader was heard so lately that none may be deposed."""
-        quiet_ms = self._clock.now_ms() - self._heard_leader_ms
-        return quiet_ms < self._election_ms
+    def has_recent_leader(self) -> bool:
+        """Whether a leader contacted this node within the election timeout."""
+        elapsed_ms = self._clock.now_ms() - self._leader_contact_ms
+        return elapsed_ms < self._election_ms
 
     def put_off(self) -> None:
-        """Has the node stand a random election time from now."""
+        """Postpones the election by a random election timeout."""
         spread = 1.0 + self._rng.random()
-        wait_ms = self._election_ms * spread * self._patience
-        self.at_ms = self._clock.now_ms() + wait_ms
+        wait_ms = self._election_ms * spread * self._election_timeout_factor
+        self.due_ms = self._clock.now_ms() + wait_ms
 
     def hold_now(self) -> None:
-        """Has the node stand at once."""
-        self.at_ms = self._clock.now_ms()
+        """Makes the election due at once."""
+        self.due_ms = self._clock.now_ms()
 
-    def on_leader_heard(self) -> None:
-        """Learns that a leader has spoken."""
-        self._heard_leader_ms = self._clock.now_ms()
+    def on_leader_contact(self) -> None:
+        """Records contact with a leader and postpones the election."""
+        self._leader_contact_ms = self._clock.now_ms()
         self.put_off()
 
-    def on_leader_lost(self, turn: int) -> None:
-        """Learns that the leader's stream ended.
+    def on_leader_lost(self, rank: int) -> None:
+        """Schedules an election soon, as the leader's connection ended.
 
         Args:
-            turn: of this node among those that may stand.
+            rank: position of this node among the remaining voters, from 0.
         """
-        self._heard_leader_ms = LONG_AGO_MS
-        self.at_ms = self._clock.now_ms() + turn * HASTE_MS
+        self._leader_contact_ms = LONG_AGO_MS
+        self.due_ms = self._clock.now_ms() + rank * CANDIDACY_STAGGER_MS
 
     # Votes.
 
     def begin(self, node: str) -> None:
-        """Begins an election with the node's own vote."""
+        """Starts the vote count with the node's own vote."""
         self._votes = {node}
 
     def on_vote(self, source: str) -> None:
-        """Takes a vote."""
+        """Counts the vote of a node."""
         self._votes.add(source)
 
     def is_won(self, voters: tuple[str, ...]) -> bool:
-        """Tells whether a majority of the voters has voted for the node."""
+        """Returns whether a majority of the voters has voted for the node."""
         return sum(voter in self._votes for voter in voters) * 2 > len(voters)
--- a/packages/state/src/clayfield/state/_replication.py
+++ b/packages/state/src/clayfield/state/_replication.py
@@ -1,71 +1,81 @@
-"""What a leader knows of each node that follows it."""
+"""A leader's view of how far each follower has replicated the log."""
 
-MAX_PENDING = 8
+MAX_UNANSWERED_APPENDS = 8
 
 
 class Progress:
-    """How far one follower has come.
+    """Replication progress of one follower or learner.
 
     Attributes:
-        next: index of the next entry to send.
-        match: last index known to agree.
-        pending: append requests with entries not yet answered.
-        acked_ms: sending time of the latest request that was answered.
-        snapshot_index: index of the snapshot being sent, or 0.
-        snapshot_offset: bytes of it that have arrived.
+        next_index: index of the next entry to send.
+        match_index: highest index up to which the follower's log is known to
+            agree with the leader's.
+        unanswered: number of append requests with entries not yet answered.
+        acked_ms: time at which the latest answered request was sent, in ms.
+        snapshot_index: index of the snapshot being sent, 0 for none.
+        snapshot_offset: number of bytes of it that the follower has received.
     """
 
     __slots__ = (
         "_match_at_heartbeat",
         "acked_ms",
-        "match",
-        "next",
-        "pending",
+        "match_index",
+        "next_index",
         "snapshot_index",
         "snapshot_offset",
+        "unanswered",
     )
 
     def __init__(self, next_index: int, now_ms: float):
-        self.next = next_index
-        self.match = 0
-        self.pending = 0
+        self.next_index = next_index
+        self.match_index = 0
+        self.unanswered = 0
         self.acked_ms = now_ms
         self.snapshot_index = 0
         self.snapshot_offset = 0
         self._match_at_heartbeat = -1
 
     @property
-    def is_open(self) -> bool:
-        """Whether more entries may be sent before an answer comes."""
-        return self.pending < MAX_PENDING
+    def can_send_entries(self) -> bool:
+        """Whether another request with entries may be sent now."""
+        return self.unanswered < MAX_UNANSWERED_APPENDS
 
     def begin_snapshot(self, index: int) -> None:
-        """Sends a snapshot from its start, unless it is under way."""
+        """Starts sending a snapshot unless it is being sent already."""
         if index != self.snapshot_index:
             self.snapshot_index = index
             self.snapshot_offset = 0
 
     def on_match(self, index: int) -> None:
-        """Learns that the follower's log agrees up to an index."""
-        self.match = max(self.match, index)
-        self.next = max(self.next, self.match + 1)
-        self.pending = max(0, self.pending - 1)
+        """Records that the follower's log agrees up to an index."""
+        self.match_index = max(self.match_index, index)
+        self.next_index = max(self.next_index, self.match_index + 1)
+        self.unanswered = max(0, self.unanswered - 1)
 
     def on_mismatch(self, hint: int) -> bool:
-        """Learns that the follower's log agrees at most up to a hint.
+        """Moves back after a reply that the follower's log does not agree.
+
+        Args:
+            hint: highest index up to which the logs may agree.
 
         Returns:
-            Whether earlier entries are to be tried; False when they were
-            known to agree, as a late answer makes it seem.
+            Whether earlier entries are to be sent. False if those are known
+            to agree, which means that the reply is an outdated one.
         """
-        before = self.next
-        self.next = max(self.match, min(hint, self.next - 2)) + 1
-        self.pending = 0
-        return self.next < before
+        previous = self.next_index
+        self.next_index = (
+            max(self.match_index, min(hint, self.next_index - 2)) + 1
+        )
+        self.unanswered = 0
+        return self.next_index < previous
+
+    def rewind_if_stalled(self) -> None:
+        """Prepares to send entries again that may have been lost.
 
-    def restart_if_stuck(self) -> None:
-        """Sends again when nothing was answered since the last heartbeat."""
-        if self.pending and self.match == self._match_at_heartbeat:
-            self.next = self.match + 1
-            self.pending = 0
-        self._match_at_heartbeat = self.match
+        To be called at each heartbeat; takes effect if entries are unanswered
+        and no further ones have matched since the call before.
+        """
+        if self.unanswered and self.match_index == self._match_at_heartbeat:
+            self.next_index = self.match_index + 1
+            self.unanswered = 0
+        self._match_at_heartbeat = self.match_index
--- a/packages/state/src/clayfield/state/_snapshots.py
+++ b/packages/state/src/clayfield/state/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots on their way from a leader to a follower, in chunks."""
+"""Transfer of snapshots from a leader to a follower, in chunks."""
 
 from clayfield.state._replication import Progress
 from clayfield.state.records import Snapshot
@@ -14,14 +14,15 @@
     progress: Progress,
     now_ms: float,
 ) -> SnapshotChunk:
-    """Returns the chunk that a follower lacks next.
+    """Returns the next chunk of a snapshot to send to a follower.
 
     Args:
-        group: the group's name.
-        term: of the leader.
-        snapshot: the leader's latest.
-        progress: of the follower; another snapshot begins anew.
-        now_ms: the time.
+        group: name of the group.
+        term: term of the leader.
+        snapshot: latest snapshot of the leader.
+        progress: progress of the follower. If it refers to another snapshot,
+            the transfer starts again with this one.
+        now_ms: current time, in ms.
     """
     progress.begin_snapshot(snapshot.index)
     start = progress.snapshot_offset
@@ -40,7 +41,7 @@
 
 
 class IncomingSnapshot:
-    """A snapshot of which a follower has received a part."""
+    """A snapshot that a follower has partly received."""
 
     __slots__ = ("_data", "_index")
 
@@ -49,17 +50,23 @@
         self._data = bytearray()
 
     @property
-    def received(self) -> int:
-        """How many bytes have arrived."""
+    def received_bytes(self) -> int:
+        """Number of bytes received so far."""
         return len(self._data)
 
-    def drop(self) -> None:
-        """Forgets what has arrived."""
+    def clear(self) -> None:
+        """Discards the data received so far."""
         self._index = 0
         self._data = bytearray()
 
-    def take(self, chunk: SnapshotChunk) -> bytes | None:
-        """Takes a chunk; returns the whole data with the last one."""
+    def add_chunk(self, chunk: SnapshotChunk) -> bytes | None:
+        """Adds a chunk if it is the next one of its snapshot.
+
+        A chunk of another snapshot replaces the data received so far.
+
+        Returns:
+            The data of the whole snapshot after its last chunk, else None.
+        """
         if self._index != chunk.index:
             self._index = chunk.index
             self._data = bytearray()
--- a/packages/state/src/clayfield/state/consensus.py
+++ b/packages/state/src/clayfield/state/consensus.py
@@ -1,13 +1,14 @@
-"""Agreement among the nodes of a group on one log of commands.
+"""Raft consensus of the nodes of a group on one log of commands.
 
-A leader elected for a term appends commands; an entry is committed when a
-majority of the voters has it on stable storage. Pre-votes and the rule that a
-voter who hears a leader gives no vote keep a node back from a long silence
-from deposing anybody. Members change one node at a time.
+A leader elected for a term appends commands. An entry is committed when a
+majority of the voters has it on stable storage. Elections begin with a
+pre-vote, which voters refuse while they are in contact with a leader, so a
+node that returns after a long partition does not depose it. Voters are added
+and removed one at a time.
 
-The class is pure: it reads a clock, is fed messages and ticks, and gives
-back, by `take_ready`, records to store and messages to send after they are
-stored.
+`Consensus` does no I/O: it reads a clock, receives messages and ticks, and
+returns from `take_ready` the records to store and the messages to send once
+they are stored.
 """
 
 import enum
@@ -43,16 +44,16 @@
 )
 
 MAX_APPEND_BYTES = 512 * 1024
-# A snapshot is taken only when the entries are this many times as large as the
-# latest one, so that large states are not written again and again.
+# Least size of the log, relative to the latest snapshot, at which another is
+# taken; keeps a large state from being written again and again.
 SNAPSHOT_RATIO = 4
-# A lease is held for this part of the election time, the rest is margin for
-# clocks that run at different rates.
-LEASE_SHARE = 0.8
+# Part of the election timeout for which a lease is valid; the rest is a margin
+# for clocks that run at different rates.
+LEASE_FRACTION = 0.8
 
 
 class Role(enum.Enum):
-    """What a node is in its term."""
+    """The role of a node in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -61,12 +62,14 @@
 
 
 class Timing:
-    """The times of a group.
+    """Timing parameters of a group.
 
     Attributes:
-        election_ms: silence after which a voter may ask for votes.
-        heartbeat_ms: how often a leader speaks.
-        compact_entries: entries held before a snapshot is taken.
+        election_ms: election timeout: time without contact to a leader after
+            which a voter may start an election.
+        heartbeat_ms: time between the heartbeats of a leader.
+        compact_entries: number of log entries above which a snapshot is
+            taken.
     """
 
     __slots__ = ("compact_entries", "election_ms", "heartbeat_ms")
@@ -83,7 +86,14 @@
 
 
 class Ready:
-    """What a node wants done: store the records, then send the messages."""
+    """Records to store, and messages to send once they are stored.
+
+    Attributes:
+        records: records in the order in which they must be stored.
+        messages: (receiving node, message) pairs.
+        last_index: index of the last log entry, to be passed to
+            `Consensus.on_persisted` after the records are stored.
+    """
 
     __slots__ = ("last_index", "messages", "records")
 
@@ -99,14 +109,17 @@
 
 
 class Consensus:
-    """One node of one group.
+    """One node's replica of a group's log.
 
     Attributes:
-        role: what the node is now.
-        term: the latest term it knows.
-        leader: the node it takes for leader, or "".
-        commit: the index of the last committed entry.
-        members: the voters and learners in force.
+        group: name of the group.
+        node: name of this node.
+        role: current role of this node.
+        term: latest term seen.
+        leader: name of the current leader, "" if unknown.
+        commit: index of the last committed entry.
+        members: voters and learners of the latest members entry in the log,
+            which may not be committed yet.
     """
 
     def __init__(
@@ -121,18 +134,18 @@
         log: Log | None = None,
         patience: float = 1.0,
     ):
-        """Starts a node from what its storage holds.
+        """Restores a node from its stored state.
 
         Args:
-            group: the group's name.
-            node: this node's name.
-            machine: what committed commands are applied to.
-            clock: the time.
-            rng: spreads the election times.
-            timing: the group's times.
-            hard: the term and vote that were stored.
-            log: the log that was stored.
-            patience: multiplies the election time; above 1 for a node that
+            group: name of the group.
+            node: name of this node.
+            machine: state machine to which committed commands are applied.
+            clock: source of the current time.
+            rng: randomizes the election timeout.
+            timing: timing parameters of the group.
+            hard: stored term and vote, None for a new node.
+            log: stored log, None for a new node.
+            patience: factor of the election timeout; above 1 for a node that
                 should lead only when no other can.
         """
         self.group = group
@@ -142,7 +155,7 @@
         hard = hard or HardState(0, "")
         self.term = hard.term
         self._vote = hard.vote
-        # An empty log is falsy, also when all of it is in its snapshot.
+        # A log without entries is falsy even if it has a snapshot.
         self._log = Log() if log is None else log
         self._machine = machine
         self._clock = clock
@@ -158,63 +171,81 @@
         self._progress: dict[str, Progress] = {}
         self._incoming = IncomingSnapshot()
         self._next_heartbeat_ms = 0.0
-        self._term_start = 0
-        self._read_members()
+        self._term_start_index = 0
+        self._load_members()
         if self._log.snapshot:
             self._machine.restore(self._log.snapshot.data)
             self.commit = self._applied = self._log.snapshot.index
         self._election = Election(clock, rng, timing.election_ms, patience)
 
-    # Questions.
+    # Queries.
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads its term, perhaps no longer validly."""
+        """Whether this node leads its term; its lease may have expired."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node has a vote."""
+        """Whether this node is a voter."""
         return self.node in self.members.voters
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry of the log."""
+        """Index of the last entry of the log."""
         return self._log.last_index
 
     @property
     def has_lease(self) -> bool:
-        """Whether no other node can lead for a while yet."""
+        """Whether this node leads and its lease excludes any other leader."""
         return self.is_leader and self._clock.now_ms() < self._lease_end_ms()
 
     @property
     def is_settled(self) -> bool:
-        """Whether the leader has committed an entry of its own term."""
-        return self.is_leader and self.commit >= self._term_start
+        """Whether this node leads and has committed an entry of its term."""
+        return self.is_leader and self.commit >= self._term_start_index
 
-    def has_command(self, is_wanted: Callable[[bytes], bool]) -> bool:
-        """Tells whether a command stands in the log, committed or not."""
-        return any(is_wanted(command) for command in self._log.commands())
+    def has_command(self, predicate: Callable[[bytes], bool]) -> bool:
+        """Returns whether a command in the log satisfies a predicate.
+
+        Uncommitted entries count; entries compacted into a snapshot do not.
+        """
+        return any(predicate(command) for command in self._log.commands())
 
     def lag_of(self, node: str) -> int | None:
-        """Returns how many entries a node lacks, None if not followed."""
+        """Returns the number of entries that a node lacks.
+
+        None if this node does not lead, or the other has not acknowledged
+        any entry yet.
+        """
         progress = self._progress.get(node)
-        if progress is None or not progress.match:
+        if progress is None or not progress.match_index:
             return None
-        return self.last_index - progress.match
+        return self.last_index - progress.match_index
 
     # Events.
 
     def form(self, first_members: Members) -> None:
-        """Starts the group's very first log, as its only author."""
+        """Creates the log with its first members and starts an election.
+
+        Raises:
+            ValueError: the node has a log already.
+        """
         if self._log.last_index or self.term:
-            raise ValueError(f"{self.node}: {self.group} has a log already")
-        self._set_hard(1, self.node)
+            raise ValueError(
+                f"cannot create the log of group {self.group!r} on node"
+                f" {self.node!r}: it has a log already"
+            )
+        self._set_hard_state(1, self.node)
         self._append(encode_members(1, first_members))
         self._election.hold_now()
 
     def propose(self, command: bytes) -> tuple[int, int] | None:
-        """Appends a command; returns its index and term, None if no leader."""
+        """Appends a command to the log.
+
+        Returns:
+            The index and term of its entry, None if this node does not lead.
+        """
         if not self.is_leader:
             return None
         self._append(LogEntry(self.term, ENTRY_COMMAND, command))
@@ -222,18 +253,22 @@
         return self._log.last_index, self.term
 
     def change_members(self, members: Members) -> bool:
-        """Proposes members that differ from the present ones by one voter.
+        """Proposes members that differ from the current ones by one voter.
 
         Returns:
-            Whether it was proposed; False while another change is under way,
-            or this node is not a settled leader.
+            Whether they were proposed. False while another change is not
+            committed, when no voter would remain, and while this node does
+            not lead or has committed no entry of its term.
 
         Raises:
             ValueError: more than one voter would change.
         """
-        before = set(self.members.voters)
-        if len(before.symmetric_difference(members.voters)) > 1:
-            raise ValueError(f"more than one voter changes: {members.voters}")
+        current_voters = set(self.members.voters)
+        if len(current_voters.symmetric_difference(members.voters)) > 1:
+            raise ValueError(
+                f"voters {members.voters} differ from the current ones by more"
+                " than one"
+            )
         if not self.is_settled or self._members_index > self.commit:
             return False
         if not members.voters:
@@ -243,21 +278,33 @@
         return True
 
     def transfer(self) -> bool:
-        """Asks the voter that lags least to take over; False if none can."""
+        """Asks the voter with the smallest lag to start an election.
+
+        Returns:
+            Whether a voter was asked; False if this node does not lead or no
+            other voter has all committed entries.
+        """
         candidates = [v for v in self.members.voters if v != self.node]
         if not self.is_leader or not candidates:
             return False
-        best = max(candidates, key=lambda v: self._progress[v].match)
-        if self._progress[best].match < self.commit:
+        target = max(candidates, key=lambda v: self._progress[v].match_index)
+        if self._progress[target].match_index < self.commit:
             return False
-        self._send(best, TimeoutNow(self.group, self.term))
+        self._send(target, TimeoutNow(self.group, self.term))
         return True
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: sends heartbeats or starts an election.
+
+        A leader that a majority has not acknowledged for two election
+        timeouts steps down.
+        """
         now_ms = self._clock.now_ms()
         if self.is_leader:
-            if now_ms - self._quorum_ms() > self._timing.election_ms * 2:
+            if (
+                now_ms - self._quorum_contact_ms()
+                > self._timing.election_ms * 2
+            ):
                 self._become_follower(self.term, "")
             elif now_ms >= self._next_heartbeat_ms:
                 self._heartbeat()
@@ -265,8 +312,8 @@
             self._start_election(pre=True)
 
     def on_message(self, source: str, message: Message) -> None:
-        """Takes a message of this group from another node."""
-        if message.term > self.term and not _is_pre(message):
+        """Handles a message of this group from another node."""
+        if message.term > self.term and not _has_prospective_term(message):
             self._become_follower(message.term, "")
         match message:
             case VoteRequest():
@@ -286,24 +333,28 @@
                     self._start_election(pre=False)
 
     def on_closed(self, box: str) -> None:
-        """Learns that the stream of a box ended.
+        """Handles the end of the connection to a box.
 
-        If it led, an election comes soon. The pre-vote still protects a
-        leader that others hear; what is lost early is only its lease.
+        If the box was the leader's, an election follows soon. The pre-vote
+        still protects a leader that other voters are in contact with; only
+        its lease may end early.
         """
         if self.leader and box_of(self.leader) == box and not self.is_leader:
             others = [v for v in self.members.voters if v != self.leader]
-            turn = others.index(self.node) if self.node in others else 0
-            self._election.on_leader_lost(turn)
+            rank = others.index(self.node) if self.node in others else 0
+            self._election.on_leader_lost(rank)
 
     def on_persisted(self, last_index: int) -> None:
-        """Learns that the records up to an index are on stable storage."""
+        """Records that the entries up to an index are on stable storage."""
         self._persisted = min(last_index, self._log.last_index)
         if self.is_leader:
             self._advance_commit()
 
     def take_ready(self) -> Ready | None:
-        """Returns what is to be stored and sent, None if nothing is."""
+        """Returns what to store and send since the last call.
+
+        None if there is nothing.
+        """
         if not self._records and not self._messages:
             return None
         ready = Ready(self._records, self._messages, self._log.last_index)
@@ -312,7 +363,11 @@
         return ready
 
     def take_results(self) -> list[tuple[int, int, object]]:
-        """Returns (index, term, result) of commands applied since last."""
+        """Returns the results of commands applied since the last call.
+
+        Each is the index and term of the entry and what the state machine
+        returned.
+        """
         results = self._results
         self._results = []
         return results
@@ -326,7 +381,7 @@
         self._election.begin(self.node)
         term = self.term + 1
         if not pre:
-            self._set_hard(term, self.node)
+            self._set_hard_state(term, self.node)
         request = VoteRequest(
             self.group,
             term,
@@ -340,31 +395,31 @@
         self._count_votes()
 
     def _on_vote_request(self, source: str, req: VoteRequest) -> None:
-        granted = self._may_vote(source, req)
+        granted = self._can_grant_vote(source, req)
         if granted and not req.pre:
-            self._set_hard(self.term, source)
+            self._set_hard_state(self.term, source)
             self._election.put_off()
         reply_term = req.term if granted else self.term
         self._send(source, VoteReply(self.group, reply_term, granted, req.pre))
 
-    def _may_vote(self, source: str, req: VoteRequest) -> bool:
+    def _can_grant_vote(self, source: str, req: VoteRequest) -> bool:
         if req.term < self.term:
             return False
-        ours = (self._log.last_term, self._log.last_index)
-        if (req.last_term, req.last_index) < ours:
+        own_last = (self._log.last_term, self._log.last_index)
+        if (req.last_term, req.last_index) < own_last:
             return False
         if req.pre:
-            return req.term > self.term and not self._hears_leader()
+            return req.term > self.term and not self._has_recent_leader()
         return self._vote in ("", source)
 
-    def _hears_leader(self) -> bool:
-        return self.is_leader or self._election.hears_leader
+    def _has_recent_leader(self) -> bool:
+        return self.is_leader or self._election.has_recent_leader
 
     def _on_vote_reply(self, source: str, reply: VoteReply) -> None:
-        wanted = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
-        asked_term = self.term + 1 if reply.pre else self.term
+        expected_role = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
+        requested_term = self.term + 1 if reply.pre else self.term
         if reply.granted:
-            if self.role is wanted and reply.term == asked_term:
+            if self.role is expected_role and reply.term == requested_term:
                 self._election.on_vote(source)
                 self._count_votes()
         elif reply.term > self.term:
@@ -380,7 +435,7 @@
 
     def _become_follower(self, term: int, leader: str) -> None:
         if term > self.term:
-            self._set_hard(term, "")
+            self._set_hard_state(term, "")
         if self.role is not Role.FOLLOWER:
             self._election.put_off()
         self.role = Role.FOLLOWER
@@ -391,26 +446,28 @@
         self.role = Role.LEADER
         self.leader = self.node
         self._progress = {}
-        self._follow_members()
+        self._sync_progress()
         self._append(LogEntry(self.term, ENTRY_NOOP, b""))
-        self._term_start = self._log.last_index
+        self._term_start_index = self._log.last_index
         self._heartbeat()
 
     # Replication.
 
-    def _follow_members(self) -> None:
+    def _sync_progress(self) -> None:
+        """Tracks the progress of exactly the current members."""
         now_ms = self._clock.now_ms()
-        wanted = {*self.members.voters, *self.members.learners} - {self.node}
-        for node in sorted(wanted - self._progress.keys()):
+        others = {*self.members.voters, *self.members.learners} - {self.node}
+        for node in sorted(others - self._progress.keys()):
             self._progress[node] = Progress(self._log.last_index + 1, now_ms)
-        for node in sorted(self._progress.keys() - wanted):
+        for node in sorted(self._progress.keys() - others):
             del self._progress[node]
 
     def _append(self, entry: LogEntry) -> None:
         index = self._log.last_index + 1
-        self._put(index, entry)
+        self._write_entry(index, entry)
 
-    def _put(self, index: int, entry: LogEntry) -> None:
+    def _write_entry(self, index: int, entry: LogEntry) -> None:
+        """Writes an entry at an index and drops all entries after it."""
         replaces = index <= self._log.last_index
         self._log.put(index, entry)
         self._persisted = min(self._persisted, index - 1)
@@ -418,25 +475,25 @@
         if is_members(entry):
             self._set_members(index, decode_members(entry))
         elif replaces and self._members_index >= index:
-            self._read_members()
+            self._load_members()
 
-    def _read_members(self) -> None:
-        found = self._log.members()
-        if found:
-            self._set_members(*found)
+    def _load_members(self) -> None:
+        latest = self._log.members()
+        if latest:
+            self._set_members(*latest)
 
     def _set_members(self, index: int, members: Members) -> None:
         self._members_index = index
         self.members = members
         if self.is_leader:
-            self._follow_members()
+            self._sync_progress()
 
     def _heartbeat(self) -> None:
         self._next_heartbeat_ms = (
             self._clock.now_ms() + self._timing.heartbeat_ms
         )
         for node, progress in self._progress.items():
-            progress.restart_if_stuck()
+            progress.rewind_if_stalled()
             self._send_append(node, progress, is_heartbeat=True)
 
     def _broadcast(self) -> None:
@@ -446,19 +503,25 @@
     def _send_append(
         self, node: str, progress: Progress, is_heartbeat: bool
     ) -> None:
+        """Sends entries or a heartbeat, or a snapshot chunk.
+
+        A chunk is sent when the entry before the next one is compacted.
+        """
         now_ms = self._clock.now_ms()
-        prev_index = progress.next - 1
+        prev_index = progress.next_index - 1
         prev_term = self._log.term_at(prev_index)
         if prev_term is None:
             self._send_snapshot(node, progress)
             return
         entries: list[LogEntry] = []
-        if progress.is_open:
-            entries = self._log.entries_from(progress.next, MAX_APPEND_BYTES)
+        if progress.can_send_entries:
+            entries = self._log.entries_from(
+                progress.next_index, MAX_APPEND_BYTES
+            )
         if not entries and not is_heartbeat:
             return
-        progress.next += len(entries)
-        progress.pending += bool(entries)
+        progress.next_index += len(entries)
+        progress.unanswered += bool(entries)
         self._send(
             node,
             AppendRequest(
@@ -477,20 +540,23 @@
             reply = AppendReply(self.group, self.term, False, 0, 0.0)
             self._send(source, reply)
             return
-        self._hear_leader(source)
+        self._on_leader_contact(source)
         if self._log.term_at(req.prev_index) != req.prev_term:
-            covered = req.prev_index < self._log.first_index - 1
-            hint = self._log.first_index - 1 if covered else 0
-            if not covered:
+            # What the snapshot covers is committed and thus agrees.
+            is_compacted = req.prev_index < self._log.first_index - 1
+            hint = self._log.first_index - 1 if is_compacted else 0
+            if not is_compacted:
                 hint = min(self._log.last_index, req.prev_index - 1)
-            self._reply_append(source, req, covered, max(hint, self.commit))
+            self._reply_append(
+                source, req, is_compacted, max(hint, self.commit)
+            )
             return
         index = req.prev_index
         for entry in req.entries:
             index += 1
             is_new = self._log.term_at(index) != entry.term
             if is_new and index > self.commit:
-                self._put(index, entry)
+                self._write_entry(index, entry)
         self._commit_to(min(req.commit, index))
         self._reply_append(source, req, True, index)
 
@@ -502,9 +568,9 @@
             AppendReply(self.group, self.term, ok, match, req.sent_ms),
         )
 
-    def _hear_leader(self, source: str) -> None:
+    def _on_leader_contact(self, source: str) -> None:
         self._become_follower(self.term, source)
-        self._election.on_leader_heard()
+        self._election.on_leader_contact()
 
     def _on_append_reply(self, source: str, reply: AppendReply) -> None:
         progress = self._progress.get(source)
@@ -516,18 +582,23 @@
             self._advance_commit()
         elif not progress.on_mismatch(reply.match):
             return
-        if progress.next <= self._log.last_index:
+        if progress.next_index <= self._log.last_index:
             self._send_append(source, progress, is_heartbeat=False)
 
     def _advance_commit(self) -> None:
-        matches = [
+        """Commits the entries that a majority of the voters has stored.
+
+        Entries of earlier terms are committed only together with one of this
+        term.
+        """
+        match_indices = [
             self._persisted
             if voter == self.node
-            else self._progress[voter].match
+            else self._progress[voter].match_index
             for voter in self.members.voters
         ]
-        matches.sort(reverse=True)
-        index = matches[len(matches) // 2]
+        match_indices.sort(reverse=True)
+        index = match_indices[len(match_indices) // 2]
         if index > self.commit and self._log.term_at(index) == self.term:
             self._commit_to(index)
 
@@ -552,8 +623,8 @@
         if len(self._log) <= self._timing.compact_entries:
             return False
         snapshot = self._log.snapshot
-        least = SNAPSHOT_RATIO * len(snapshot.data) if snapshot else 0
-        return self._log.size >= least
+        min_size = SNAPSHOT_RATIO * len(snapshot.data) if snapshot else 0
+        return self._log.size >= min_size
 
     def _compact(self) -> None:
         members = self._members_at_applied()
@@ -569,7 +640,7 @@
         self._records.append(snapshot)
 
     def _members_at_applied(self) -> Members | None:
-        """Returns the members, None while a change is not yet applied."""
+        """Returns the members, None while a change of them is not applied."""
         return self.members if self._members_index <= self._applied else None
 
     def _send_snapshot(self, node: str, progress: Progress) -> None:
@@ -581,36 +652,36 @@
     def _on_snapshot_chunk(self, source: str, chunk: SnapshotChunk) -> None:
         if chunk.term < self.term:
             return
-        self._hear_leader(source)
+        self._on_leader_contact(source)
         if chunk.index <= self.commit:
-            self._incoming.drop()
+            self._incoming.clear()
             reply = AppendReply(
                 self.group, self.term, True, self.commit, chunk.sent_ms
             )
             self._send(source, reply)
             return
-        data = self._incoming.take(chunk)
+        data = self._incoming.add_chunk(chunk)
         if data is not None:
-            self._install(chunk, data)
+            self._install_snapshot(chunk, data)
         self._send(
             source,
             SnapshotReply(
                 self.group,
                 self.term,
                 chunk.index,
-                self._incoming.received,
+                self._incoming.received_bytes,
                 chunk.sent_ms,
             ),
         )
 
-    def _install(self, chunk: SnapshotChunk, data: bytes) -> None:
+    def _install_snapshot(self, chunk: SnapshotChunk, data: bytes) -> None:
         snapshot = Snapshot(chunk.index, chunk.index_term, chunk.members, data)
         self._log.compact(snapshot)
         self._records.append(snapshot)
         self._machine.restore(data)
         self.commit = self._applied = chunk.index
         self._persisted = min(self._persisted, chunk.index)
-        self._read_members()
+        self._load_members()
 
     def _on_snapshot_reply(self, source: str, reply: SnapshotReply) -> None:
         progress = self._progress.get(source)
@@ -628,20 +699,26 @@
 
     # Leases.
 
-    def _quorum_ms(self) -> float:
-        """Returns the latest time at which a majority followed this leader."""
+    def _quorum_contact_ms(self) -> float:
+        """Returns when a majority last acknowledged this leader, in ms.
+
+        The time is that at which the acknowledged requests were sent.
+        """
         now_ms = self._clock.now_ms()
-        times = [
+        ack_times = [
             now_ms if voter == self.node else self._progress[voter].acked_ms
             for voter in self.members.voters
         ]
-        times.sort(reverse=True)
-        return times[len(times) // 2]
+        ack_times.sort(reverse=True)
+        return ack_times[len(ack_times) // 2]
 
     def _lease_end_ms(self) -> float:
-        return self._quorum_ms() + self._timing.election_ms * LEASE_SHARE
+        return (
+            self._quorum_contact_ms()
+            + self._timing.election_ms * LEASE_FRACTION
+        )
 
-    def _set_hard(self, term: int, vote: str) -> None:
+    def _set_hard_state(self, term: int, vote: str) -> None:
         self.term = term
         self._vote = vote
         self._records.append(HardState(term, vote))
@@ -650,8 +727,12 @@
         self._messages.append((node, message))
 
 
-def _is_pre(message: Message) -> bool:
-    """Tells whether a message's term is one that nobody has entered yet."""
+def _has_prospective_term(message: Message) -> bool:
+    """Returns whether a message carries the term of a pre-vote.
+
+    No node has entered that term yet, so receiving it does not raise the term
+    of the receiver.
+    """
     match message:
         case VoteRequest(pre=pre):
             return pre
--- a/packages/state/src/clayfield/state/group.py
+++ b/packages/state/src/clayfield/state/group.py
@@ -1,13 +1,14 @@
-"""One node's part in one replicated group, from its forming on.
+"""One node's part in one replicated group: creation and membership.
 
-The first of the configured boxes forms the group when all of them say that
-they hold no state of it; the others join one at a time; only when all vote
-does the group open. From then on a box that comes back with empty memory or
-disk joins as a new node: it learns without a vote until it has caught up,
-then takes the place of its earlier incarnation.
+The first of the configured boxes, by name, creates the group when all of them
+report that they hold no state of it. The others join one at a time, and the
+group opens only when all of them are voters. From then on, a box that restarts
+with empty memory or disk joins as a new node: as a learner until it has caught
+up, then as a voter in place of its earlier incarnation.
 
-Each forming is an instance with its own name. A node that holds no opened
-state drops what it has for another instance; one that does never will.
+Each creation makes an *instance* of the group, with its own name. A node that
+holds no state of an opened instance drops what it has when a message of
+another instance arrives; a node that holds such state ignores the message.
 """
 
 import random
@@ -22,10 +23,10 @@
 from clayfield.wire.messages import Grouped, Members, Message
 
 INSTANCE_SEPARATOR = "@"
-FORMING_SEPARATOR = "#"
+BOOTSTRAP_SEPARATOR = "#"
 MAX_LAG_TO_VOTE = 64
-# How long all nodes must agree that their group is lost before they drop it.
-LOST_MS = 1500.0
+# Time for which all nodes must report a group as lost before they drop it.
+LOSS_CONFIRMATION_MS = 1500.0
 
 
 def base_of(group: str) -> str:
@@ -37,10 +38,10 @@
     """A node's part in a group.
 
     Attributes:
-        base: the group's name, without an instance.
-        node: this node.
-        consensus: the node's log, None before it takes part.
-        machine: the state it drives.
+        base: name of the group, without its instance.
+        node: name of this node.
+        consensus: this node's replica of the log, None before it takes part.
+        machine: state machine that the log drives.
     """
 
     def __init__(
@@ -57,20 +58,22 @@
         stored: Replayed | None = None,
         may_drop: bool = False,
     ):
-        """Starts from what is stored, if anything.
+        """Restores this node's part from its stored state, if there is any.
 
         Args:
-            base: the group's name.
-            node: this node's name.
-            replicas: the boxes that are to vote.
-            make_machine: makes an empty state.
-            is_opened: tells whether the group's log holds its opening.
-            clock: the time.
-            rng: spreads election times.
-            timing: the group's times.
+            base: name of the group, without its instance.
+            node: name of this node.
+            replicas: names of the boxes that should vote.
+            make_machine: returns an empty state machine.
+            is_opened: returns whether the group's log contains the command
+                that opens it.
+            clock: source of the current time.
+            rng: randomizes the election timeout.
+            timing: timing parameters of the group.
             patience: see `Consensus`.
-            stored: what the store holds, None for a group in memory.
-            may_drop: start anew when a majority is provably gone for good.
+            stored: restored state, None for a group kept in memory only.
+            may_drop: whether the group is dropped and created again when it
+                has lost its quorum of voters for good.
         """
         self.base = base
         self.node = node
@@ -80,14 +83,14 @@
         self._clock = clock
         self._rng = rng
         self._timing = timing
-        self._patience = patience
+        self._election_timeout_factor = patience
         self.machine = make_machine()
         self.consensus: Consensus | None = None
         self._may_drop = may_drop
-        self._formings = 0
-        self._is_lost = False
+        self._bootstrap_count = 0
+        self._is_quorum_lost = False
         self._lost_since_ms = 0.0
-        self._births: list[Record] = []
+        self._new_log_records: list[Record] = []
         if stored and stored.instance:
             self._start(stored.instance, stored)
 
@@ -102,22 +105,26 @@
             self._timing,
             stored.hard if stored else None,
             stored.log if stored else None,
-            self._patience,
+            self._election_timeout_factor,
         )
 
-    def _be_born(self, instance: str) -> None:
-        self._births.append(Born(instance))
+    def _start_new_log(self, instance: str) -> None:
+        self._new_log_records.append(Born(instance))
         self._start(instance)
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the node holds nothing that an opened group left."""
+        """Whether this node holds no state of an opened instance."""
         return self.consensus is None or not self._is_opened(self)
 
     @property
     def holds_nothing_live(self) -> bool:
-        """Whether what this node holds, if anything, can never count again."""
-        return self.is_fresh or self._is_lost
+        """Whether what this node holds can be dropped.
+
+        It holds no state of an opened instance, or only that of one that has
+        lost its quorum for good.
+        """
+        return self.is_fresh or self._is_quorum_lost
 
     @property
     def is_leader(self) -> bool:
@@ -126,12 +133,12 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this node has a vote."""
+        """Whether this node is a voter."""
         return self.consensus is not None and self.consensus.is_voter
 
     @property
     def is_whole(self) -> bool:
-        """Whether every configured box has a vote."""
+        """Whether every configured box is a voter."""
         if self.consensus is None:
             return False
         voters = {box_of(voter) for voter in self.consensus.members.voters}
@@ -139,11 +146,14 @@
 
     @property
     def leader(self) -> str:
-        """The node that this one follows, or ""."""
+        """Name of the current leader, "" if unknown."""
         return self.consensus.leader if self.consensus else ""
 
     def on_message(self, message: Grouped) -> None:
-        """Takes a consensus message for this node."""
+        """Handles a consensus message.
+
+        Messages for other nodes or groups are ignored.
+        """
         group = message.body.group
         if message.to != self.node or base_of(group) != self.base:
             return
@@ -151,97 +161,111 @@
         if group != current:
             if not self.is_fresh:
                 return
-            self._be_born(group)
+            self._start_new_log(group)
         self.consensus.on_message(message.source, message.body)
 
     def tick(self, peers: PeerTable) -> None:
-        """Lets time act, and brings the members nearer to the wanted ones."""
+        """Runs the periodic work.
+
+        Creates or drops the group where this is due, runs the periodic work
+        of consensus, and on the leader moves the members towards the
+        configured ones.
+        """
         self._drop_if_lost(peers)
         if self.consensus is None:
-            self._form_if_first(peers)
+            self._bootstrap_if_first(peers)
         if self.consensus is None:
             return
         self.consensus.tick()
         if self.consensus.is_settled:
-            self._change_one(peers)
+            self._propose_next_members(peers)
 
-    def _form_if_first(self, peers: PeerTable) -> None:
+    def _bootstrap_if_first(self, peers: PeerTable) -> None:
+        """Creates the group if this box is the first and all are empty."""
         own_box = box_of(self.node)
         if not self._replicas or own_box != min(self._replicas):
             return
         for box in self._replicas:
-            if box != own_box and not self._says_fresh(peers, box):
+            if box != own_box and not self._reports_empty(peers, box):
                 return
-        # A node may form its group again; the number keeps the names apart.
-        self._formings += 1
-        self._be_born(f"{self.join_name()}{FORMING_SEPARATOR}{self._formings}")
+        # A node may create its group again; the number makes the name unique.
+        self._bootstrap_count += 1
+        self._start_new_log(
+            f"{self.join_name()}{BOOTSTRAP_SEPARATOR}{self._bootstrap_count}"
+        )
         self.consensus.form(Members((self.node,)))
 
     def _drop_if_lost(self, peers: PeerTable) -> None:
-        """Drops a group of which a majority is gone for good.
+        """Drops a group that has lost its quorum of voters for good.
 
-        A voter is gone for good when a later incarnation of its box was
-        heard. When every node that still lives sees it so, none of them can
-        ever lead again, and the claims start anew; see docs/design/claims.md.
+        A voter is lost for good when a later incarnation of its box has been
+        in contact. Once every configured box reports the group as lost, no
+        node can become its leader any more, and it can be created again.
         """
         now_ms = self._clock.now_ms()
-        self._is_lost = self._may_drop and self._sees_majority_gone(peers)
-        is_agreed = self._is_lost and all(
-            box == box_of(self.node) or self._says_fresh(peers, box)
+        self._is_quorum_lost = self._may_drop and self._is_quorum_superseded(
+            peers
+        )
+        is_confirmed = self._is_quorum_lost and all(
+            box == box_of(self.node) or self._reports_empty(peers, box)
             for box in self._replicas
         )
-        if not is_agreed:
+        if not is_confirmed:
             self._lost_since_ms = now_ms
-        elif now_ms - self._lost_since_ms >= LOST_MS:
+        elif now_ms - self._lost_since_ms >= LOSS_CONFIRMATION_MS:
             self.consensus = None
             self.machine = self._make_machine()
-            self._is_lost = False
+            self._is_quorum_lost = False
 
-    def _sees_majority_gone(self, peers: PeerTable) -> bool:
+    def _is_quorum_superseded(self, peers: PeerTable) -> bool:
         if self.consensus is None or not self.consensus.members.voters:
             return False
         voters = self.consensus.members.voters
-        gone = sum(peers.is_superseded(voter) for voter in voters)
-        return (len(voters) - gone) * 2 <= len(voters)
+        superseded = sum(peers.is_superseded(voter) for voter in voters)
+        return (len(voters) - superseded) * 2 <= len(voters)
 
-    def _says_fresh(self, peers: PeerTable, box: str) -> bool:
+    def _reports_empty(self, peers: PeerTable, box: str) -> bool:
+        """Returns whether a live box reports that it can drop the group."""
         peer = peers.get(box)
         if peer is None or peer.beat is None or not peers.is_live(box):
             return False
         return self.base in peer.beat.fresh
 
-    def _change_one(self, peers: PeerTable) -> None:
-        """Takes the next step from the present members to the wanted ones."""
+    def _propose_next_members(self, peers: PeerTable) -> None:
+        """Proposes the next step from the current to the configured members."""
         members = self.consensus.members
         for box in self._replicas:
-            node = self._node_of(box, peers)
+            node = self._joining_node(box, peers)
             if not node or node in members.voters:
                 continue
-            step = self._step_for(node, members)
-            if step and self.consensus.change_members(step):
+            next_members = self._next_members(node, members)
+            if next_members and self.consensus.change_members(next_members):
                 return
-        self._remove_one_unwanted(members)
+        self._remove_unconfigured_voter(members)
 
-    def _remove_one_unwanted(self, members: Members) -> None:
-        """Takes the vote of a box that is configured no more.
+    def _remove_unconfigured_voter(self, members: Members) -> None:
+        """Removes a voter whose box is no longer configured.
 
-        The configured boxes get theirs first; the leader goes last, when
-        another can lead.
+        Waits until all configured boxes are voters, and removes the leader
+        last.
         """
         if not self.is_whole:
             return
-        unwanted = [
+        unconfigured = [
             voter
             for voter in members.voters
             if box_of(voter) not in self._replicas
         ]
-        unwanted.sort(key=lambda voter: voter == self.node)
-        if unwanted:
-            voters = tuple(v for v in members.voters if v != unwanted[0])
+        unconfigured.sort(key=lambda voter: voter == self.node)
+        if unconfigured:
+            voters = tuple(v for v in members.voters if v != unconfigured[0])
             self.consensus.change_members(Members(voters, members.learners))
 
-    def _node_of(self, box: str, peers: PeerTable) -> str:
-        """Returns the node by which a live box takes part, or ""."""
+    def _joining_node(self, box: str, peers: PeerTable) -> str:
+        """Returns the node with which a live box takes part in the group.
+
+        "" if the box is not live or does not take part.
+        """
         if box == box_of(self.node):
             return self.node
         peer = peers.get(box)
@@ -253,7 +277,13 @@
                 return node
         return ""
 
-    def _step_for(self, node: str, members: Members) -> Members | None:
+    def _next_members(self, node: str, members: Members) -> Members | None:
+        """Returns the members after the next step that makes a node a voter.
+
+        The node becomes a learner; once it has caught up, an earlier
+        incarnation of its box is removed, then the node becomes a voter. None
+        while it has not caught up.
+        """
         if node not in members.learners:
             return Members(members.voters, (*members.learners, node))
         lag = self.consensus.lag_of(node)
@@ -264,26 +294,29 @@
             voters = tuple(v for v in members.voters if v != stale[0])
             return Members(voters, members.learners)
         learners = tuple(
-            one for one in members.learners if box_of(one) != box_of(node)
+            n for n in members.learners if box_of(n) != box_of(node)
         )
         return Members((*members.voters, node), learners)
 
     def join_name(self) -> str:
-        """Returns how this node asks to take part."""
+        """Returns the entry for this node in `Heartbeat.joins`."""
         return f"{self.base}{INSTANCE_SEPARATOR}{self.node}"
 
     def take_ready(self) -> Ready | None:
-        """Returns what is to be stored and sent, None if nothing is."""
+        """Returns what to store and send since the last call.
+
+        None if there is nothing.
+        """
         ready = self.consensus.take_ready() if self.consensus else None
-        if not self._births:
+        if not self._new_log_records:
             return ready
-        births = self._births
-        self._births = []
+        new_log_records = self._new_log_records
+        self._new_log_records = []
         if ready is None:
-            return Ready(births, [], 0)
-        ready.records = births + ready.records
+            return Ready(new_log_records, [], 0)
+        ready.records = new_log_records + ready.records
         return ready
 
     def address(self, messages: list[tuple[str, Message]]) -> list[Grouped]:
-        """Returns messages with sender and receiver on them."""
+        """Wraps messages with their sender and receiver."""
         return [Grouped(self.node, to, body) for to, body in messages]
