--- a/packages/state/src/clayfield/state/__init__.py
+++ b/packages/state/src/clayfield/state/__init__.py
@@ -1,4 +1,4 @@
-"""State that boxes share: consensus, claims and the configuration log."""
+"""Replicated state: Raft consensus, claims and the configuration log."""
 
 from clayfield.state._members import encode_members
 from clayfield.state.claims import (
--- a/packages/state/src/clayfield/state/_members.py
+++ b/packages/state/src/clayfield/state/_members.py
@@ -1,4 +1,4 @@
-"""Members entries of a log."""
+"""Log entries that set the members of a group."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
 
 
 def is_members(entry: LogEntry) -> bool:
-    """Tells whether an entry changes the members."""
+    """Returns whether an entry sets the members."""
     return entry.kind == ENTRY_MEMBERS
 
 
 def decode_members(entry: LogEntry) -> Members:
-    """Returns the members that an entry sets."""
+    """Returns the members that a members entry sets."""
     return _decoder.decode(entry.data)
 
 
 def encode_members(term: int, members: Members) -> LogEntry:
-    """Returns the entry that sets the members."""
+    """Returns a log entry that sets the members."""
     return LogEntry(term, ENTRY_MEMBERS, _encoder.encode(members))
--- a/packages/state/src/clayfield/state/claims.py
+++ b/packages/state/src/clayfield/state/claims.py
@@ -1,11 +1,13 @@
-"""The claims of a hall: which node runs which key, and its answer.
+"""The claims registry of a hall, a replicated state machine.
 
-The table is a state machine under consensus. Its time is the time that the
-leader reports in `Advance` commands, so that all replicas expire alike.
+A claim records which node, its owner, runs an idempotency key, and later the
+outcome. Each key has a home hall, whose registry holds its claim. The table
+takes its time from `Advance` commands of the leader, so that all replicas
+expire claims alike.
 
-A claim's life: claimed → completed → expired. A claim whose owner is lost
-before it completed ends with an outcome that says *may have run*; the key is
-never given to another owner.
+A claim is created, completed and, after the retention time, expired. If its
+owner is lost before the claim is completed, the claim ends with an outcome
+saying that the work *may have run*; the key is never given to another owner.
 """
 
 import collections
@@ -35,11 +37,11 @@
 
 
 class Advance(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Moves the table's time forward by `delta_ms`.
+    """Command that advances the time of the table.
 
     Attributes:
-        delta_ms: since the last one, on the leader's clock.
-        retention_ms: how long outcomes are kept from now on.
+        delta_ms: time since the last such command, on the leader's clock.
+        retention_ms: time for which outcomes are kept from now on.
     """
 
     delta_ms: float
@@ -47,18 +49,24 @@
 
 
 class OwnerLost(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Says that a node is gone for good; `outcome` ends its claims."""
+    """Command that ends all open claims of a node that is lost for good.
+
+    Attributes:
+        owner: node that is lost.
+        outcome: final outcome of its claims.
+    """
 
     owner: str
     outcome: Outcome
 
 
 class Open(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Opens the table for claims.
+    """Command that opens the table for claims.
 
     Attributes:
-        count: how often the hall's claims have started, this time included.
-            Above 1 the claims of earlier times were lost with their replicas.
+        count: number of times the hall's registry has started with an empty
+            table, this time included. Above 1, earlier claims were lost with
+            their replicas.
     """
 
     count: int
@@ -70,23 +78,23 @@
 
 
 def encode_commands(commands: list[ClaimCommand]) -> bytes:
-    """Returns a batch of commands as one entry of the log."""
+    """Returns a batch of commands as the data of one log entry."""
     return _encoder.encode(commands)
 
 
 def is_opening(command: bytes) -> bool:
-    """Tells whether an entry of the log opens the table."""
-    return any(isinstance(one, Open) for one in _decoder.decode(command))
+    """Returns whether the data of a log entry contains an `Open` command."""
+    return any(isinstance(item, Open) for item in _decoder.decode(command))
 
 
 class ClaimRecord(msgspec.Struct, array_like=True, gc=False):
-    """What is held of one key.
+    """The claim of one key.
 
     Attributes:
-        digest: of the body that the key was first used with.
-        owner: the node that runs it.
-        nonce: the owner's number for it.
-        outcome: the final answer, None while it may still come.
+        digest: digest of the request body that the key was first used with.
+        owner: node that runs the key.
+        nonce: number that the owner gave the submission.
+        outcome: final outcome, None while the claim is open.
     """
 
     digest: bytes
@@ -95,8 +103,8 @@
     outcome: Outcome | None
 
 
-class _Image(msgspec.Struct, array_like=True):
-    """A snapshot of the table."""
+class _TableSnapshot(msgspec.Struct, array_like=True):
+    """A snapshot of a `ClaimTable`."""
 
     count: int
     now_ms: float
@@ -104,16 +112,17 @@
     expiry: list[tuple[float, str]]
 
 
-_image_decoder = msgspec.msgpack.Decoder(_Image)
+_snapshot_decoder = msgspec.msgpack.Decoder(_TableSnapshot)
 
 
 class ClaimTable(StateMachine):
-    """All claims of a hall.
+    """The claims of a hall.
 
     Attributes:
-        claims: the records by key.
-        now_ms: the table's own time.
-        count: how often the hall's claims have started; 0 while not open.
+        claims: claim records by key.
+        now_ms: time of the table, the sum of all advances, in ms.
+        count: number of times the hall's registry has started with an empty
+            table; 0 while the table is not open.
     """
 
     __slots__ = (
@@ -135,19 +144,19 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether claims are taken."""
+        """Whether the table is open for claims."""
         return self.count > 0
 
     @property
     def owners(self) -> list[str]:
-        """The nodes with claims that have no outcome yet."""
+        """Nodes that own open claims."""
         return list(self._owners)
 
     def apply(self, command: bytes) -> list[ClaimReply | None]:
         """Applies a batch; returns a reply or None for each command."""
-        return [self._apply_one(one) for one in _decoder.decode(command)]
+        return [self._apply_command(item) for item in _decoder.decode(command)]
 
-    def _apply_one(self, command: ClaimCommand) -> ClaimReply | None:
+    def _apply_command(self, command: ClaimCommand) -> ClaimReply | None:
         match command:
             case Open(count=count):
                 self.count = self.count or count
@@ -156,14 +165,14 @@
             case Lookup():
                 return self._look_up(command)
             case Complete(key=key, owner=owner, nonce=nonce, outcome=outcome):
-                record = self._open_record(key, owner, nonce)
+                record = self._find_open_record(key, owner, nonce)
                 if record:
                     self._close(key, record, outcome)
                 return ClaimReply(key, nonce, CLAIM_SETTLED)
             case Unclaim(key=key, owner=owner, nonce=nonce):
-                record = self._open_record(key, owner, nonce)
+                record = self._find_open_record(key, owner, nonce)
                 if record:
-                    self._disown(key, record)
+                    self._remove_from_owner(key, record)
                     del self.claims[key]
                 return ClaimReply(key, nonce, CLAIM_SETTLED)
             case Advance(delta_ms=delta_ms, retention_ms=retention_ms):
@@ -192,13 +201,14 @@
         is_same = (record.owner, record.nonce) == (claim.owner, claim.nonce)
         if is_same and record.outcome is None:
             return ClaimReply(claim.key, claim.nonce, CLAIM_GRANTED)
-        return _describe(claim.key, claim.nonce, record)
+        return _reply_from_record(claim.key, claim.nonce, record)
 
     def _may_be_lost(self, key: str) -> bool:
-        """Tells whether a key may have been claimed before this start.
+        """Returns whether a key may have had a claim before the latest start.
 
-        Claims are forgotten after the retention anyway; until then only a key
-        that names this start, as `HALL.COUNT:rest`, is surely newer.
+        Once the retention time has passed since, such a claim would have
+        expired anyway. Until then, only a key that names the latest start, as
+        `HALL.COUNT:rest`, is certain to be newer.
         """
         if self.count <= 1 or self.now_ms >= self._retention_ms:
             return False
@@ -210,11 +220,12 @@
             is_lost = self._may_be_lost(lookup.key)
             verdict = CLAIM_LOST if is_lost else CLAIM_UNKNOWN
             return ClaimReply(lookup.key, lookup.nonce, verdict)
-        return _describe(lookup.key, lookup.nonce, record)
+        return _reply_from_record(lookup.key, lookup.nonce, record)
 
-    def _open_record(
+    def _find_open_record(
         self, key: str, owner: str, nonce: int
     ) -> ClaimRecord | None:
+        """Returns the open claim of a submission, None if there is none."""
         record = self.claims.get(key)
         if record is None or record.outcome is not None:
             return None
@@ -224,10 +235,10 @@
 
     def _close(self, key: str, record: ClaimRecord, outcome: Outcome) -> None:
         record.outcome = outcome
-        self._disown(key, record)
+        self._remove_from_owner(key, record)
         self._expiry.append((self.now_ms + self._retention_ms, key))
 
-    def _disown(self, key: str, record: ClaimRecord) -> None:
+    def _remove_from_owner(self, key: str, record: ClaimRecord) -> None:
         keys = self._owners[record.owner]
         keys.discard(key)
         if not keys:
@@ -239,25 +250,27 @@
             del self.claims[key]
 
     def snapshot(self) -> bytes:
-        """Returns the whole table."""
+        """Returns the whole table in encoded form."""
         return _encoder.encode(
-            _Image(self.count, self.now_ms, self.claims, list(self._expiry))
+            _TableSnapshot(
+                self.count, self.now_ms, self.claims, list(self._expiry)
+            )
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the table by a snapshot."""
-        image = _image_decoder.decode(data)
-        self.count = image.count
-        self.now_ms = image.now_ms
-        self.claims = image.claims
-        self._expiry = collections.deque(image.expiry)
+        """Replaces the table by one that `snapshot` returned."""
+        saved = _snapshot_decoder.decode(data)
+        self.count = saved.count
+        self.now_ms = saved.now_ms
+        self.claims = saved.claims
+        self._expiry = collections.deque(saved.expiry)
         self._owners = {}
         for key, record in self.claims.items():
             if record.outcome is None:
                 self._owners.setdefault(record.owner, set()).add(key)
 
 
-def _describe(key: str, nonce: int, record: ClaimRecord) -> ClaimReply:
+def _reply_from_record(key: str, nonce: int, record: ClaimRecord) -> ClaimReply:
     verdict = CLAIM_OWNED if record.outcome is None else CLAIM_DONE
     return ClaimReply(
         key, nonce, verdict, record.owner, record.nonce, record.outcome
--- a/packages/state/src/clayfield/state/configlog.py
+++ b/packages/state/src/clayfield/state/configlog.py
@@ -1,8 +1,9 @@
-"""The accepted configurations, as a state machine under consensus.
+"""The accepted configurations, a replicated state machine.
 
-A file names the version it replaces. Of two files for the same version the
-first in the log wins. The digest of every accepted file is kept by version,
-so a file sent again, however much later, is told its first answer.
+A configuration file names the version that it replaces. Of two files that
+replace the same version, the first in the log is accepted. The digests of all
+accepted files are kept, so that a file that is sent again gets the same result
+as the first time, however much later.
 """
 
 import hashlib
@@ -26,7 +27,13 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True, array_like=True):
-    """What became of a file; `code` is empty when it was accepted."""
+    """The result of applying a configuration file.
+
+    Attributes:
+        version: version of the accepted file, else the active version.
+        code: error code, "" if the file was accepted.
+        detail: error text, "" if the file was accepted.
+    """
 
     version: int
     code: str
@@ -34,22 +41,34 @@
 
 
 class _Apply(msgspec.Struct, frozen=True, array_like=True, tag=True):
+    """Command that applies a configuration, given as a change."""
+
     digest: bytes
     delta: bytes
 
 
 class _Begin(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    pass
+    """Command that opens the log for configurations."""
 
 
 class _OpenHall(msgspec.Struct, frozen=True, array_like=True, tag=True):
+    """Command that records a start of a hall's claims registry.
+
+    Attributes:
+        hall: name of the hall.
+        instance: group instance that opens the registry.
+        halls: names of all halls, sorted.
+    """
+
     hall: str
     instance: str
     halls: tuple[str, ...] = ()
 
 
-class _Image(msgspec.Struct, frozen=True, array_like=True):
-    whole: bytes
+class _ConfigLogSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """A snapshot of a `ConfigLog`; `config` is the active configuration."""
+
+    config: bytes
     digests: bytes
     deltas: list[bytes]
     openings: dict[str, list[str]]
@@ -58,32 +77,35 @@
 
 
 _command_decoder = msgspec.msgpack.Decoder(_Apply | _Begin | _OpenHall)
-_image_decoder = msgspec.msgpack.Decoder(_Image)
+_snapshot_decoder = msgspec.msgpack.Decoder(_ConfigLogSnapshot)
 
 
-def digest_of(whole: bytes) -> bytes:
-    """Returns the digest of a canonical configuration."""
-    return hashlib.blake2b(whole, digest_size=DIGEST_BYTES).digest()
+def digest_of(config: bytes) -> bytes:
+    """Returns the digest of a configuration in canonical form."""
+    return hashlib.blake2b(config, digest_size=DIGEST_BYTES).digest()
 
 
 def beginning() -> bytes:
-    """Returns the command that opens the log."""
+    """Returns the command that opens the log for configurations."""
     return msgspec.msgpack.encode(_Begin())
 
 
 def is_beginning(command: bytes) -> bool:
-    """Tells whether an entry of the log opens it."""
+    """Returns whether a command opens the log."""
     return isinstance(_command_decoder.decode(command), _Begin)
 
 
 class ConfigLog(StateMachine):
-    """The configuration in force, and how it came about.
+    """The active configuration and its history.
 
     Attributes:
-        current: the configuration in force.
-        deltas: the latest changes, oldest first, the last to `current`.
-        openings: by hall the group instances that opened its claims.
-        is_open: whether the log has begun with all of its first voters.
+        current: active configuration.
+        deltas: latest changes in encoded form, oldest first; the last one
+            led to `current`.
+        openings: by hall, the group instances that opened its claims
+            registry, in order.
+        is_open: whether the log was opened, which happens once all first
+            voters have joined.
     """
 
     __slots__ = (
@@ -105,33 +127,39 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """Number of the active version, 0 before the first."""
         return len(self._digests) // DIGEST_BYTES
 
-    def command_for(self, wanted: Configuration) -> bytes | ApplyResult:
-        """Returns the command that applies a file, or its answer already.
+    def command_for(self, submitted: Configuration) -> bytes | ApplyResult:
+        """Returns the command that applies a configuration, or its result.
 
-        The answer is given without a command when the file can no longer be
-        accepted, or was accepted before.
+        The result is returned if no command is needed: the configuration was
+        accepted before, or can't be accepted any more.
         """
-        answer = self._first_answer(
-            wanted.replaces, digest_of(to_bytes(wanted))
+        result = self._find_earlier_result(
+            submitted.replaces, digest_of(to_bytes(submitted))
         )
-        if answer:
-            return answer
-        delta = diff(self.current, wanted)
-        digest = digest_of(to_bytes(wanted))
+        if result:
+            return result
+        delta = diff(self.current, submitted)
+        digest = digest_of(to_bytes(submitted))
         return msgspec.msgpack.encode(_Apply(digest, delta))
 
-    def _first_answer(self, replaces: int, digest: bytes) -> ApplyResult | None:
+    def _find_earlier_result(
+        self, replaces: int, digest: bytes
+    ) -> ApplyResult | None:
+        """Returns the result of a file without applying it.
+
+        None if the file replaces the active version and may be applied.
+        """
         if replaces == self.version:
             return None
         if replaces > self.version:
             return ApplyResult(
                 self.version,
                 Kind.VERSION_RACE.code,
-                f"Version {replaces} was never accepted, {self.version} is"
-                " in force.",
+                f"The file replaces version {replaces}, which was never"
+                f" accepted; version {self.version} is in force.",
             )
         start = replaces * DIGEST_BYTES
         if self._digests[start : start + DIGEST_BYTES] == digest:
@@ -139,21 +167,29 @@
         return ApplyResult(
             self.version,
             Kind.VERSION_RACE.code,
-            f"Version {replaces} was replaced by another file; {self.version}"
-            " is in force.",
+            f"Version {replaces} was already replaced by another file; version"
+            f" {self.version} is in force.",
         )
 
     def opening_for(
         self, hall: str, instance: str, halls: tuple[str, ...]
     ) -> bytes:
-        """Returns the command that records that a hall's claims start."""
+        """Returns the command that records a start of a hall's claims registry.
+
+        Args:
+            hall: name of the hall.
+            instance: group instance that opens the registry.
+            halls: names of all halls, sorted.
+        """
         return msgspec.msgpack.encode(_OpenHall(hall, instance, halls))
 
     def apply(self, command: bytes) -> ApplyResult | int:
-        """Applies a command made by this module, perhaps elsewhere.
+        """Applies a command.
 
         Returns:
-            What became of a file; or how often a hall's claims have started.
+            For a configuration file its result; for a start of a hall's
+            claims registry the number of starts, this one included; 0 for
+            the opening of the log.
         """
         decoded = _command_decoder.decode(command)
         if isinstance(decoded, _Begin):
@@ -164,24 +200,24 @@
         return self._open_hall(decoded)
 
     def _open_hall(self, opening: _OpenHall) -> int:
-        """Returns how often a hall's claims have started.
+        """Records a start of a hall's claims registry and returns its number.
 
-        Each earlier set of halls counts as a start too: with the set, keys
-        moved here whose claims are elsewhere.
+        Each earlier set of halls counts as a start, too: when the set
+        changes, keys get a new home hall, but their claims stay behind.
         """
         if opening.halls not in self._hall_sets:
             self._hall_sets.append(opening.halls)
         instances = self.openings.setdefault(opening.hall, [])
         if opening.instance not in instances:
             instances.append(opening.instance)
-        earlier_sets = self._hall_sets.index(opening.halls)
-        return instances.index(opening.instance) + 1 + earlier_sets
+        earlier_set_count = self._hall_sets.index(opening.halls)
+        return instances.index(opening.instance) + 1 + earlier_set_count
 
     def _apply_file(self, command: _Apply) -> ApplyResult:
         replaces = version_of(command.delta) - 1
-        answer = self._first_answer(replaces, command.digest)
-        if answer:
-            return answer
+        result = self._find_earlier_result(replaces, command.digest)
+        if result:
+            return result
         self.current = patch(self.current, command.delta)
         self._digests += command.digest
         self.deltas.append(command.delta)
@@ -189,18 +225,18 @@
         return ApplyResult(self.version, "", "")
 
     def deltas_after(self, version: int) -> list[bytes] | None:
-        """Returns the changes after a version, None if no longer held."""
-        missed = self.version - version
-        if missed < 0 or missed > len(self.deltas):
+        """Returns the changes after a version, None if one is not held."""
+        missing = self.version - version
+        if missing < 0 or missing > len(self.deltas):
             return None
-        return self.deltas[len(self.deltas) - missed :]
+        return self.deltas[len(self.deltas) - missing :]
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
-        whole = to_bytes(self.current) if self.version else b""
+        """Returns the whole state in encoded form."""
+        config = to_bytes(self.current) if self.version else b""
         return msgspec.msgpack.encode(
-            _Image(
-                whole,
+            _ConfigLogSnapshot(
+                config,
                 bytes(self._digests),
                 self.deltas,
                 self.openings,
@@ -210,11 +246,11 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot."""
-        image = _image_decoder.decode(data)
-        self.current = from_bytes(image.whole) if image.whole else EMPTY
-        self._digests = bytearray(image.digests)
-        self.deltas = image.deltas
-        self.openings = image.openings
-        self.is_open = image.is_open
-        self._hall_sets = list(image.hall_sets)
+        """Replaces the state by one that `snapshot` returned."""
+        saved = _snapshot_decoder.decode(data)
+        self.current = from_bytes(saved.config) if saved.config else EMPTY
+        self._digests = bytearray(saved.digests)
+        self.deltas = saved.deltas
+        self.openings = saved.openings
+        self.is_open = saved.is_open
+        self._hall_sets = list(saved.hall_sets)
--- a/packages/state/src/clayfield/state/log.py
+++ b/packages/state/src/clayfield/state/log.py
@@ -1,4 +1,4 @@
-"""The entries of a replicated log, behind the latest snapshot."""
+"""The in-memory log of a node: its latest snapshot and the entries after it."""
 
 from clayfield.base import ClayfieldError, Kind
 from clayfield.state._members import decode_members, is_members
@@ -13,13 +13,14 @@
 
 
 class Log:
-    """A log in memory, made from records and giving records.
+    """The entries of a log that follow its latest snapshot.
 
-    Indices start at 1; 0 means before the first entry.
+    Indices start at 1; 0 stands for the position before the first entry. The
+    length is the number of entries held.
 
     Attributes:
-        snapshot: the latest snapshot, or None.
-        size: bytes of data in the entries that are held.
+        snapshot: latest snapshot, None if there is none.
+        size: number of bytes of data in the entries held.
     """
 
     __slots__ = ("_entries", "size", "snapshot")
@@ -31,24 +32,27 @@
 
     @property
     def first_index(self) -> int:
-        """The index of the first entry that is held."""
+        """Index of the first entry held, or of the next one if none is."""
         return (self.snapshot.index if self.snapshot else 0) + 1
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry."""
+        """Index of the last entry, 0 for a new log."""
         return self.first_index + len(self._entries) - 1
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry."""
+        """Term of the last entry, 0 for a new log."""
         return self.term_at(self.last_index) or 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term of an entry, None when it is not held."""
+        """Returns the term of an entry, None if it is not held.
+
+        The term of the entry that the snapshot ends with is held, too.
+        """
         if self.snapshot and index == self.snapshot.index:
             return self.snapshot.term
         if index == 0 and self.snapshot is None:
@@ -59,11 +63,14 @@
         return None
 
     def entry_at(self, index: int) -> LogEntry:
-        """Returns the entry at an index that is held."""
+        """Returns the entry at an index, which must be held."""
         return self._entries[index - self.first_index]
 
     def entries_from(self, index: int, max_bytes: int) -> list[LogEntry]:
-        """Returns entries from `index` on, at least one if there is one."""
+        """Returns entries from `index` on, up to `max_bytes` of data.
+
+        The first entry is returned even if it is larger.
+        """
         chosen: list[LogEntry] = []
         size = 0
         position = index - self.first_index
@@ -77,11 +84,11 @@
         return chosen
 
     def commands(self) -> list[bytes]:
-        """Returns the commands that are held, oldest first."""
+        """Returns the commands in the entries held, oldest first."""
         return [e.data for e in self._entries if e.kind == ENTRY_COMMAND]
 
     def put(self, index: int, entry: LogEntry) -> None:
-        """Sets the entry at `index` and drops all behind it."""
+        """Writes the entry at `index` and drops all entries after it."""
         position = index - self.first_index
         self.size -= _size_of(self._entries[position:])
         del self._entries[position:]
@@ -89,17 +96,24 @@
         self.size += len(entry.data)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Takes a snapshot and drops the entries that it covers."""
+        """Replaces the latest snapshot and drops the entries it covers.
+
+        All entries are dropped if the log does not agree with the snapshot.
+        """
         if self.term_at(snapshot.index) == snapshot.term:
-            keep = snapshot.index - self.first_index + 1
-            del self._entries[:keep]
+            covered = snapshot.index - self.first_index + 1
+            del self._entries[:covered]
         else:
             self._entries.clear()
         self.size = _size_of(self._entries)
         self.snapshot = snapshot
 
     def members(self) -> tuple[int, Members] | None:
-        """Returns the latest members in the log, with their index."""
+        """Returns the index and content of the latest members entry.
+
+        Members from the snapshot have the index of the snapshot. None if the
+        log sets no members.
+        """
         for index in range(self.last_index, self.first_index - 1, -1):
             entry = self.entry_at(index)
             if is_members(entry):
@@ -114,12 +128,12 @@
 
 
 class Replayed:
-    """What records left behind.
+    """State restored from stored records.
 
     Attributes:
-        instance: the group instance that they belong to, or "".
-        hard: the term and vote.
-        log: the log.
+        instance: group instance that the records belong to, "" for none.
+        hard: latest term and vote.
+        log: restored log.
     """
 
     __slots__ = ("hard", "instance", "log")
@@ -131,10 +145,13 @@
 
 
 def replay(records: list[Record]) -> Replayed:
-    """Rebuilds hard state and log from records.
+    """Restores the hard state and the log from records.
+
+    Args:
+        records: all stored records, in the order in which they were stored.
 
     Raises:
-        ClayfieldError: of kind STORE_DAMAGED, when an entry is missing.
+        ClayfieldError: an entry is missing (kind `STORE_DAMAGED`).
     """
     state = Replayed()
     for record in records:
@@ -155,7 +172,8 @@
     if index > log.last_index + 1:
         raise ClayfieldError(
             Kind.STORE_DAMAGED,
-            f"Entry {index} follows entry {log.last_index}.",
+            f"Entry {index} follows entry {log.last_index}; the log entries"
+            " in between are missing.",
         )
     if index >= log.first_index:
         log.put(index, entry)
--- a/packages/state/src/clayfield/state/machine.py
+++ b/packages/state/src/clayfield/state/machine.py
@@ -1,22 +1,23 @@
-"""What a replicated log drives."""
+"""Interface of the state machines that are replicated by a log."""
 
 import abc
 
 
 class StateMachine(abc.ABC):
-    """State that changes only by commands applied in log order."""
+    """State that changes only through commands applied in log order."""
 
     @abc.abstractmethod
     def apply(self, command: bytes) -> object:
         """Applies one command and returns its result for the proposer.
 
-        The result must follow from the state and the command alone.
+        The new state and the result may depend only on the old state and the
+        command, so that all replicas stay equal.
         """
 
     @abc.abstractmethod
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the whole state in encoded form."""
 
     @abc.abstractmethod
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot."""
+        """Replaces the state by one that `snapshot` returned."""
--- a/packages/state/src/clayfield/state/membership.py
+++ b/packages/state/src/clayfield/state/membership.py
@@ -1,8 +1,11 @@
-"""What a box knows of its peers, each heard over its own heartbeats.
+"""The peers of a box: their incarnations, heartbeats and liveness.
 
-A peer counts as live while its lease runs, on this box's clock alone. The
-incarnation tells a process from an earlier one of the same box: a higher one
-proves the earlier gone; a lower one is believed only after silence.
+A peer is live for `LEASE_MS` after each contact, measured on this box's clock.
+Each start of a box's process has an incarnation number. A message from a higher
+one proves that the earlier process has ended; messages from a lower one are
+accepted only when the known one is not live any more.
+
+A node is one incarnation of a box, named `BOX/INCARNATION`.
 """
 
 from clayfield.base import Clock
@@ -13,34 +16,34 @@
 
 
 def node_name(box: str, incarnation: int) -> str:
-    """Returns the name of one incarnation of a box."""
+    """Returns the name of the node for an incarnation of a box."""
     return f"{box}{NODE_SEPARATOR}{incarnation}"
 
 
 def box_of(node: str) -> str:
-    """Returns the box that a node is an incarnation of."""
+    """Returns the name of the box of a node."""
     return node.partition(NODE_SEPARATOR)[0]
 
 
 def incarnation_of(node: str) -> int:
-    """Returns the incarnation of a node."""
+    """Returns the incarnation number of a node."""
     return int(node.partition(NODE_SEPARATOR)[2])
 
 
 def supersedes(node: str, other: str) -> bool:
-    """Tells whether a node proves that another is gone for good."""
+    """Returns whether a node is a later incarnation of another's box."""
     return box_of(node) == box_of(other) and incarnation_of(
         node
     ) > incarnation_of(other)
 
 
 class Peer:
-    """One peer as last heard.
+    """The state of one peer.
 
     Attributes:
-        node: its incarnation.
-        heard_ms: when it was last heard.
-        beat: its latest heartbeat, None before the first.
+        node: name of the node, which is the known incarnation of the box.
+        heard_ms: time of the last contact, in ms.
+        beat: latest heartbeat, None before the first.
     """
 
     __slots__ = ("beat", "heard_ms", "node")
@@ -52,7 +55,7 @@
 
 
 class PeerTable:
-    """The peers of one box."""
+    """The peers with which a box has been in contact."""
 
     __slots__ = ("_clock", "_node", "_peers")
 
@@ -62,57 +65,59 @@
         self._peers: dict[str, Peer] = {}
 
     def accepts(self, node: str) -> bool:
-        """Tells whether a message of a node is to be believed.
+        """Returns whether messages of a node are accepted.
 
-        A message of an earlier incarnation than the one known is late.
+        Those of an earlier incarnation than the known one are outdated while
+        the known one is live.
         """
-        known = self._peers.get(box_of(node))
-        if known is None or known.node == node:
+        peer = self._peers.get(box_of(node))
+        if peer is None or peer.node == node:
             return True
-        return supersedes(node, known.node) or not self.is_live(box_of(node))
+        return supersedes(node, peer.node) or not self.is_live(box_of(node))
 
     def on_heard(self, node: str) -> None:
-        """Learns that a node has spoken."""
+        """Records contact with a node."""
         box = box_of(node)
-        known = self._peers.get(box)
-        if known is None or known.node != node:
-            known = self._peers[box] = Peer(node, 0.0)
-        known.heard_ms = self._clock.now_ms()
+        peer = self._peers.get(box)
+        if peer is None or peer.node != node:
+            peer = self._peers[box] = Peer(node, 0.0)
+        peer.heard_ms = self._clock.now_ms()
 
     def on_closed(self, node: str) -> None:
-        """Learns that a node's stream ended: its process is likely gone.
+        """Handles the end of a node's connection.
 
-        It only shortens the wait. The node counts as live again as soon as it
-        speaks.
+        Its process has probably ended, so it is not live until the next
+        contact.
         """
-        known = self._peers.get(box_of(node))
-        if known and known.node == node:
-            known.heard_ms = min(
-                known.heard_ms, self._clock.now_ms() - LEASE_MS
-            )
+        peer = self._peers.get(box_of(node))
+        if peer and peer.node == node:
+            peer.heard_ms = min(peer.heard_ms, self._clock.now_ms() - LEASE_MS)
 
     def on_heartbeat(self, node: str, beat: Heartbeat) -> None:
-        """Takes a heartbeat."""
+        """Records a heartbeat of a node."""
         self.on_heard(node)
         self._peers[box_of(node)].beat = beat
 
     def get(self, box: str) -> Peer | None:
-        """Returns a peer, None if it was never heard."""
+        """Returns the peer on a box, None if there was no contact with it."""
         return self._peers.get(box)
 
     def is_live(self, box: str) -> bool:
-        """Tells whether a box was heard within its lease."""
+        """Returns whether the last contact with a box is within the lease."""
         return self.silence_ms(box) < LEASE_MS
 
     def silence_ms(self, box: str) -> float:
-        """Returns for how long a box was not heard."""
+        """Returns the time since the last contact with a box, in ms.
+
+        Infinite if there was none.
+        """
         peer = self._peers.get(box)
         if peer is None:
             return float("inf")
         return self._clock.now_ms() - peer.heard_ms
 
     def live(self) -> list[tuple[str, Peer]]:
-        """Returns the live boxes that sent a heartbeat, by name."""
+        """Returns the live peers that have sent a heartbeat, by box name."""
         return [
             (box, peer)
             for box, peer in sorted(self._peers.items())
@@ -120,16 +125,16 @@
         ]
 
     def is_superseded(self, node: str) -> bool:
-        """Tells whether a later incarnation of a node's box was heard."""
+        """Returns whether a later incarnation of a node's box is known."""
         if supersedes(self._node, node):
             return True
         peer = self._peers.get(box_of(node))
         return peer is not None and supersedes(peer.node, node)
 
     def leader_of(self, group: str) -> tuple[str, int]:
-        """Returns the live node that leads a group, and its term.
+        """Returns the live peer that leads a group, and its term.
 
-        The node is "" where no live peer says that it leads.
+        ("", 0) if no live peer reports that it leads.
         """
         best = ("", 0)
         for _, peer in self.live():
--- a/packages/state/src/clayfield/state/records.py
+++ b/packages/state/src/clayfield/state/records.py
@@ -1,4 +1,4 @@
-"""What consensus must have on stable storage before its messages leave."""
+"""Records that a node stores before it sends the messages based on them."""
 
 import msgspec
 
@@ -6,31 +6,52 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The base of all records."""
+    """Base class of all records."""
 
 
 class Born(Record, frozen=True):
-    """A log starts here; all before it belonged to another instance."""
+    """Start of a new log; earlier records belong to another instance.
+
+    Attributes:
+        instance: name of the group instance.
+    """
 
     instance: str
 
 
 class HardState(Record, frozen=True):
-    """The term, and whom this node voted for in it ("" for nobody)."""
+    """The persistent state of Raft besides the log.
+
+    Attributes:
+        term: current term.
+        vote: node that this node voted for in the term, "" for none.
+    """
 
     term: int
     vote: str
 
 
 class Append(Record, frozen=True):
-    """An entry at `index`; whatever stood there or behind it is void."""
+    """An entry of the log; it replaces all entries from its index on.
+
+    Attributes:
+        index: index of the entry.
+        entry: the entry.
+    """
 
     index: int
     entry: LogEntry
 
 
 class Snapshot(Record, frozen=True):
-    """The state after `index`; the log up to there is no longer needed."""
+    """A snapshot; it replaces the log up to and including its index.
+
+    Attributes:
+        index: index of the last entry covered.
+        term: term of that entry.
+        members: members of the group as of that entry.
+        data: encoded state of the state machine.
+    """
 
     index: int
     term: int
