--- a/packages/cluster/src/clayfield/cluster/__init__.py
+++ b/packages/cluster/src/clayfield/cluster/__init__.py
@@ -1,6 +1,7 @@
-"""Control nodes: the replicated configuration, grants and discovery.
+"""Control nodes: replicated configuration, grants, kept jobs and discovery.
 
-Pure decisions: they are fed events and a clock and return actions.
+The package does no I/O: its classes receive events and a clock and return
+actions.
 """
 
 from clayfield.cluster.actions import (
--- a/packages/cluster/src/clayfield/cluster/actions.py
+++ b/packages/cluster/src/clayfield/cluster/actions.py
@@ -1,4 +1,4 @@
-"""What a control node wants done."""
+"""Actions that a control node returns to its process."""
 
 import enum
 
@@ -7,10 +7,11 @@
 
 
 class WriteOutcome(enum.Enum):
-    """What became of an operator's write.
+    """The outcome of an operator's write of a configuration.
 
-    IN_FORCE says that the written version, or a higher one, is in force;
-    UNKNOWN that it may or may not come into force.
+    Attributes:
+        IN_FORCE: the written version, or a higher one, is active.
+        UNKNOWN: the written version may or may not become active.
     """
 
     IN_FORCE = "in-force"
@@ -18,7 +19,12 @@
 
 
 class Send:
-    """Send a message to a node."""
+    """Send a message to a node.
+
+    Attributes:
+        node: name of the receiving node.
+        message: the message.
+    """
 
     __slots__ = ("message", "node")
 
@@ -28,7 +34,11 @@
 
 
 class Publish:
-    """Send a message to every connected entry."""
+    """Send a message to all connected entry nodes.
+
+    Attributes:
+        message: the message.
+    """
 
     __slots__ = ("message",)
 
@@ -37,7 +47,14 @@
 
 
 class Persist:
-    """Store records, then send messages and report `last_index`."""
+    """Store records, then send messages and report that they are stored.
+
+    Attributes:
+        records: records to store, in order.
+        messages: messages to send once the records are stored.
+        last_index: index to pass to `ControlNode.on_persisted` once the
+            records are stored.
+    """
 
     __slots__ = ("last_index", "messages", "records")
 
@@ -50,7 +67,13 @@
 
 
 class Settled:
-    """Answer an operator's write."""
+    """Answer an operator's write of a configuration.
+
+    Attributes:
+        request: number of the request that is answered.
+        outcome: outcome of the write.
+        version: active version, 0 if the outcome is unknown.
+    """
 
     __slots__ = ("outcome", "request", "version")
 
--- a/packages/cluster/src/clayfield/cluster/control.py
+++ b/packages/cluster/src/clayfield/cluster/control.py
@@ -1,4 +1,9 @@
-"""One control node: its part in the replicated log, and what it publishes."""
+"""A control node: its replica of the control log and its messages to others.
+
+Control nodes vote in the replicated control log, which holds the
+configuration, the grant and the kept jobs. They push these, and the
+heartbeats of workers, to the entry nodes.
+"""
 
 import random
 
@@ -53,14 +58,19 @@
 GROUP = "control"
 ENTRY_ROLE = "entry"
 CONTROL_ROLE = "control"
-STATUS_MS = 200.0
-# A write that is not in force after so long gets no clear answer.
-WRITE_MS = 3000.0
+# Time between checks whether entry nodes lack the configuration or grant.
+RESEND_INTERVAL_MS = 200.0
+# Time after which an uncommitted write is answered with an unknown outcome.
+WRITE_TIMEOUT_MS = 3000.0
 TIMING = Timing(election_ms=500.0, heartbeat_ms=100.0, compact_entries=64)
 
 
 def first_records(voters: tuple[str, ...]) -> list[Record]:
-    """Returns what the store of each first voter starts with."""
+    """Returns the initial contents of the store of each first voter.
+
+    Args:
+        voters: names of the first voters.
+    """
     return [
         Born(GROUP),
         HardState(1, ""),
@@ -68,8 +78,8 @@
     ]
 
 
-class _Write:
-    """An operator's write that waits for its commit."""
+class _PendingWrite:
+    """An operator's write that is not yet committed."""
 
     __slots__ = ("since_ms", "version")
 
@@ -79,13 +89,13 @@
 
 
 class ControlNode:
-    """The decisions of one control node.
+    """The logic of one control node.
 
     Attributes:
-        node: its name.
-        consensus: its part in the replicated log.
-        state: the replicated state as far as it knows it.
-        workers: the workers that it has heard of.
+        node: name of this node.
+        consensus: this node's replica of the control log.
+        state: replicated state, as far as this node has applied the log.
+        workers: workers that have sent heartbeats.
     """
 
     def __init__(
@@ -98,16 +108,17 @@
         heartbeat_ms: float,
         keep_ended_ms: float = 120_000.0,
     ):
-        """Starts a node from what its storage holds.
+        """Restores a node from its stored state.
 
         Args:
-            node: its name.
-            clock: the time.
-            rng: spreads the election times.
-            stored: the term, vote and log that were stored.
-            voters: which nodes should vote.
-            heartbeat_ms: between the statements of a worker.
-            keep_ended_ms: how long it is told how a kept job ended.
+            node: name of this node.
+            clock: source of the current time.
+            rng: randomizes the election timeout.
+            stored: restored term, vote and log.
+            voters: policy that selects the voters.
+            heartbeat_ms: time between the heartbeats of a worker.
+            keep_ended_ms: time for which the end state of a kept job is
+                stored.
         """
         self.node = node
         self._clock = clock
@@ -124,60 +135,62 @@
             stored.log,
         )
         self.workers = WorkerDirectory(clock, heartbeat_ms)
-        self._holders = HolderChoice(clock)
-        self._ledger = LeaderLedger(
+        self._holder_selector = HolderChoice(clock)
+        self._job_store_leader = LeaderLedger(
             clock, self.consensus, self.state, keep_ended_ms
         )
-        self._peers: dict[str, str] = {}
+        self._control_nodes: dict[str, str] = {}
         self._addresses: set[str] = set()
         self._actions: list[Action] = []
-        self._writes: dict[int, _Write] = {}
+        self._pending_writes: dict[int, _PendingWrite] = {}
         self._published_version = 0
         self._published_epoch = 0
-        self._next_status_ms = 0.0
+        self._next_resend_ms = 0.0
 
-    # Questions.
+    # Queries.
 
     @property
     def leader_address(self) -> str:
-        """Where the leader's peers connect to it, "" when none is known."""
+        """Address at which nodes connect to the leader, "" if unknown."""
         leader = self.consensus.leader
-        if not leader or (leader != self.node and leader not in self._peers):
+        if not leader or (
+            leader != self.node and leader not in self._control_nodes
+        ):
             return ""
         return box_of(leader)
 
     @property
     def is_sure(self) -> bool:
-        """Whether this node's state is surely the newest."""
+        """Whether this node leads and its state is certain to be the latest."""
         return self.consensus.has_lease and self.consensus.is_settled
 
     @property
     def has_entries(self) -> bool:
-        """Whether any entry hears what this node learns."""
-        return bool(self._holders.nodes())
+        """Whether an entry node is connected."""
+        return bool(self._holder_selector.nodes())
 
     @property
     def addresses(self) -> set[str]:
-        """The addresses of other control nodes that are known."""
+        """Known addresses of the other control nodes."""
         return self._addresses - {box_of(self.node)}
 
     # Events.
 
     def learn_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Learns where control nodes are."""
+        """Adds addresses of control nodes."""
         self._addresses.update(addresses)
 
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that a node is connected."""
+        """Handles a new connection of a node."""
         if greeting.role == ENTRY_ROLE:
-            self._holders.on_open(greeting)
-            self._bring_up_to_date(greeting.node)
+            self._holder_selector.on_open(greeting)
+            self._send_current_state(greeting.node)
         else:
-            self._peers[greeting.node] = greeting.hall
+            self._control_nodes[greeting.node] = greeting.hall
             self._addresses.add(box_of(greeting.node))
         self._send_addresses(greeting.node)
 
-    def _bring_up_to_date(self, entry: str) -> None:
+    def _send_current_state(self, entry: str) -> None:
         if self.state.version:
             self._send(entry, self._config_push())
         if self.state.grant.epoch:
@@ -185,152 +198,174 @@
         self._send(entry, WorkersPush(self.workers.all()))
 
     def _send_addresses(self, node: str) -> None:
-        known = (*self.addresses, box_of(self.node))
-        self._send(node, ControlNodes(tuple(sorted(known))))
+        addresses = (*self.addresses, box_of(self.node))
+        self._send(node, ControlNodes(tuple(sorted(addresses))))
 
     def on_closed(self, node: str) -> None:
-        """Learns that a node is not connected any more."""
-        self._holders.on_closed(node)
-        if self._peers.pop(node, None) is not None:
+        """Handles the end of the connection of a node."""
+        self._holder_selector.on_closed(node)
+        if self._control_nodes.pop(node, None) is not None:
             self.consensus.on_closed(box_of(node))
 
     def on_message(self, node: str, message: Message) -> None:
-        """Takes a message of a node."""
+        """Handles a message of a node."""
         match message:
             case Grouped(source=source, to=to, body=body):
                 if to == self.node:
                     self.consensus.on_message(source, body)
             case EntryStatus():
-                self._holders.on_status(node, message)
+                self._holder_selector.on_status(node, message)
                 if self.is_sure:
-                    self._actions += self._ledger.on_status(node, message)
+                    self._actions += self._job_store_leader.on_status(
+                        node, message
+                    )
             case LoadJobs():
                 if self.is_sure:
-                    self._actions += self._ledger.on_load(node, message)
+                    self._actions += self._job_store_leader.on_load(
+                        node, message
+                    )
             case WriteJobs():
                 if self.is_sure:
-                    self._ledger.on_write(node, message)
+                    self._job_store_leader.on_write(node, message)
             case ControlNodes(addresses=addresses):
                 self.learn_addresses(addresses)
 
     def on_worker(self, info: WorkerInfo) -> None:
-        """Takes a worker's statement."""
+        """Handles a heartbeat of a worker."""
         if self.workers.on_statement(info):
             self._actions.append(Publish(WorkersPush((info,))))
 
     def on_worker_left(self, name: str) -> None:
-        """Learns that a worker has taken its leave."""
+        """Handles the announcement of a worker that it has left."""
         self.workers.on_leave(name)
         self._actions.append(Publish(WorkerLeft(name)))
 
     def write(self, request: int, version: int, document: bytes) -> bool:
-        """Puts a configuration in force; `Settled` tells what came of it.
+        """Proposes a configuration; a `Settled` action follows.
+
+        Args:
+            request: number of the request, repeated in the action.
+            version: version of the configuration.
+            document: the configuration as the operator wrote it.
 
         Returns:
-            Whether this node took it; only the leader does.
+            Whether the write was accepted; only the leader accepts writes.
         """
         if not self.is_sure:
             return False
         if version <= self.state.version:
-            self._settle(request, WriteOutcome.IN_FORCE, self.state.version)
+            self._finish_write(
+                request, WriteOutcome.IN_FORCE, self.state.version
+            )
             return True
         command = encode_command(SetConfig(version, document))
         if self.consensus.propose(command) is None:
             return False
-        self._writes[request] = _Write(version, self._clock.now_ms())
+        self._pending_writes[request] = _PendingWrite(
+            version, self._clock.now_ms()
+        )
         return True
 
     def on_persisted(self, last_index: int) -> None:
-        """Learns that records up to an index are on stable storage."""
+        """Records that the entries up to an index are on stable storage."""
         self.consensus.on_persisted(last_index)
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work.
+
+        Runs consensus, the work of the leader, the removal of expired workers,
+        and the resending of state to entry nodes.
+        """
         self.consensus.tick()
         if self.is_sure:
-            self._lead()
+            self._run_leader_work()
         else:
-            self._holders.on_follow()
+            self._holder_selector.on_follow()
         if not self.consensus.is_leader:
-            self._ledger.on_follow()
+            self._job_store_leader.on_follow()
         self.workers.forget_silent()
         now_ms = self._clock.now_ms()
-        if now_ms >= self._next_status_ms:
-            self._next_status_ms = now_ms + STATUS_MS
-            for entry in self._holders.nodes():
-                self._catch_up(entry)
-
-    def _catch_up(self, entry: str) -> None:
-        """Sends again what an entry does not say it has."""
-        status = self._holders.status_of(entry)
+        if now_ms >= self._next_resend_ms:
+            self._next_resend_ms = now_ms + RESEND_INTERVAL_MS
+            for entry in self._holder_selector.nodes():
+                self._resend_missing(entry)
+
+    def _resend_missing(self, entry: str) -> None:
+        """Resends the configuration and grant that an entry node lacks."""
+        status = self._holder_selector.status_of(entry)
         if status.config_version < self.state.version:
             self._send(entry, self._config_push())
         if status.epoch < self.state.grant.epoch:
             self._send(entry, self.state.grant)
 
-    def _lead(self) -> None:
-        live = {box_of(peer): peer for peer in self._peers}
+    def _run_leader_work(self) -> None:
+        """Proposes the changes of voters, grant and ended jobs that are due."""
+        live = {box_of(peer): peer for peer in self._control_nodes}
         live[box_of(self.node)] = self.node
         members = self._voters.step(self.consensus, live, self._clock.now_ms())
         if members:
             self.consensus.change_members(members)
-        wanted = self._holders.propose(self.state.grant)
-        if wanted:
-            self.consensus.propose(encode_command(wanted))
-        self._ledger.forget_ended()
+        grant = self._holder_selector.propose(self.state.grant)
+        if grant:
+            self.consensus.propose(encode_command(grant))
+        self._job_store_leader.forget_ended()
 
     # Actions.
 
     def take_actions(self) -> list[Action]:
-        """Returns what is to be done since the last call."""
+        """Returns the actions to perform since the last call."""
         self._publish_changes()
-        self._settle_writes()
+        self._finish_writes()
         ready = self.consensus.take_ready()
         if ready:
-            self._take_ready(ready)
+            self._add_ready_actions(ready)
         actions = self._actions
         self._actions = []
         return actions
 
-    def _take_ready(self, ready: Ready) -> None:
-        """Passes on what consensus wants stored and sent.
+    def _add_ready_actions(self, ready: Ready) -> None:
+        """Adds actions for the records and messages of consensus.
 
-        A leader's entries leave at once: it counts itself among those that
-        have them only when its own disk has. All else that is sent vouches
-        for what is stored, and waits for it.
+        A leader's append requests are sent at once: it counts its own copy of
+        an entry only once that is stored. All other messages imply that the
+        records are stored, and are sent after that.
         """
-        waiting: list[Grouped] = []
+        after_storing: list[Grouped] = []
         for to, body in ready.messages:
             message = Grouped(self.node, to, body)
             if isinstance(body, AppendRequest):
                 self._send(to, message)
             else:
-                waiting.append(message)
-        self._actions.append(Persist(ready.records, waiting, ready.last_index))
+                after_storing.append(message)
+        self._actions.append(
+            Persist(ready.records, after_storing, ready.last_index)
+        )
 
     def _publish_changes(self) -> None:
         results = self.consensus.take_results()
-        self._actions += self._ledger.on_applied(results)
+        self._actions += self._job_store_leader.on_applied(results)
         if self.state.version > self._published_version:
             self._published_version = self.state.version
             self._actions.append(Publish(self._config_push()))
         grant: Grant = self.state.grant
         if grant.epoch > self._published_epoch:
             self._published_epoch = grant.epoch
-            self._holders.on_granted()
+            self._holder_selector.on_granted()
             self._actions.append(Publish(grant))
 
-    def _settle_writes(self) -> None:
+    def _finish_writes(self) -> None:
         now_ms = self._clock.now_ms()
-        for request, write in list(self._writes.items()):
+        for request, write in list(self._pending_writes.items()):
             if self.state.version >= write.version:
-                del self._writes[request]
-                self._settle(request, WriteOutcome.IN_FORCE, self.state.version)
-            elif now_ms - write.since_ms > WRITE_MS:
-                del self._writes[request]
-                self._settle(request, WriteOutcome.UNKNOWN, 0)
-
-    def _settle(
+                del self._pending_writes[request]
+                self._finish_write(
+                    request, WriteOutcome.IN_FORCE, self.state.version
+                )
+            elif now_ms - write.since_ms > WRITE_TIMEOUT_MS:
+                del self._pending_writes[request]
+                self._finish_write(request, WriteOutcome.UNKNOWN, 0)
+
+    def _finish_write(
         self, request: int, outcome: WriteOutcome, version: int
     ) -> None:
         self._actions.append(Settled(request, outcome, version))
--- a/packages/cluster/src/clayfield/cluster/directory.py
+++ b/packages/cluster/src/clayfield/cluster/directory.py
@@ -1,9 +1,10 @@
 """The replicated state of the control nodes.
 
-Configurations are kept as the operator wrote them; the highest version wins.
-A grant names the epoch that it follows, so that of two for the same epoch the
-first in the log wins. Changes of kept jobs name the epoch of the holder that
-makes them, and count only while its grant is in force.
+Configurations are stored as the operator wrote them; the highest version is
+active. A grant names the epoch that it follows, so that of two grants that
+follow the same epoch only the first in the log takes effect. Changes of kept
+jobs carry the epoch of the holder that makes them, and are rejected once
+another grant is active.
 """
 
 import msgspec
@@ -16,29 +17,54 @@
 
 
 class SetConfig(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Puts a configuration in force unless a version as high is."""
+    """Command that activates a configuration.
+
+    It has no effect if the same version or a higher one is active.
+
+    Attributes:
+        version: version of the configuration.
+        document: the configuration as the operator wrote it.
+    """
 
     version: int
     document: bytes
 
 
 class SetGrant(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Grants the workers to a holder, as the epoch after `follows`."""
+    """Command that grants the workers to a holder.
+
+    Attributes:
+        previous_epoch: epoch of the grant that this one replaces. The command
+            has no effect if another epoch is active.
+        holder: name of the node that is to schedule all workers.
+        standbys: by hall, the node that schedules the hall's workers while
+            the hall is partitioned from the holder.
+    """
 
-    follows: int
+    previous_epoch: int
     holder: str
     standbys: dict[str, str]
 
 
 class SetJobs(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Changes kept jobs, if the holder of an epoch still holds."""
+    """Command that changes kept jobs.
+
+    Attributes:
+        epoch: epoch of the holder's grant. The command has no effect if
+            another epoch is active.
+        changes: changes in the order in which to apply them.
+    """
 
     epoch: int
     changes: tuple[JobChange, ...]
 
 
 class ForgetJobs(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Drops kept jobs that ended long ago."""
+    """Command that removes ended kept jobs.
+
+    Attributes:
+        keys: keys of the jobs.
+    """
 
     keys: tuple[str, ...]
 
@@ -46,7 +72,9 @@
 Command = SetConfig | SetGrant | SetJobs | ForgetJobs
 
 
-class _Image(msgspec.Struct, frozen=True, array_like=True):
+class _ControlStateSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """A snapshot of a `ControlState`."""
+
     version: int
     document: bytes
     epoch: int
@@ -56,22 +84,22 @@
 
 
 _command_decoder = msgspec.msgpack.Decoder(Command)
-_image_decoder = msgspec.msgpack.Decoder(_Image)
+_snapshot_decoder = msgspec.msgpack.Decoder(_ControlStateSnapshot)
 
 
 def encode_command(command: Command) -> bytes:
-    """Returns a command as it stands in the log."""
+    """Returns a command as the data of a log entry."""
     return msgspec.msgpack.encode(command)
 
 
 class ControlState(StateMachine):
-    """The configuration in force, the latest grant and the kept jobs.
+    """The active configuration, the latest grant and the kept jobs.
 
     Attributes:
-        version: of the configuration, 0 before the first.
-        document: the configuration as it was written.
-        grant: the latest grant, of epoch 0 before the first.
-        jobs: the kept jobs.
+        version: version of the active configuration, 0 before the first.
+        document: active configuration as the operator wrote it.
+        grant: latest grant, with epoch 0 before the first.
+        jobs: kept jobs.
     """
 
     __slots__ = ("document", "grant", "jobs", "version")
@@ -83,7 +111,7 @@
         self.jobs = JobBook(clock)
 
     def apply(self, command: bytes) -> bool:
-        """Applies a command; returns whether it came into force."""
+        """Applies a command; returns whether it took effect."""
         decoded = _command_decoder.decode(command)
         match decoded:
             case SetConfig():
@@ -104,10 +132,10 @@
         return True
 
     def _set_grant(self, command: SetGrant) -> bool:
-        if command.follows != self.grant.epoch:
+        if command.previous_epoch != self.grant.epoch:
             return False
         self.grant = Grant(
-            command.follows + 1, command.holder, command.standbys
+            command.previous_epoch + 1, command.holder, command.standbys
         )
         return True
 
@@ -118,9 +146,9 @@
         return True
 
     def snapshot(self) -> bytes:
-        """Returns the whole state."""
+        """Returns the whole state in encoded form."""
         grant = self.grant
-        image = _Image(
+        saved = _ControlStateSnapshot(
             self.version,
             self.document,
             grant.epoch,
@@ -128,12 +156,12 @@
             grant.standbys,
             self.jobs.image(),
         )
-        return msgspec.msgpack.encode(image)
+        return msgspec.msgpack.encode(saved)
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by a snapshot."""
-        image = _image_decoder.decode(data)
-        self.version = image.version
-        self.document = image.document
-        self.grant = Grant(image.epoch, image.holder, image.standbys)
-        self.jobs.restore(image.jobs)
+        """Replaces the state by one that `snapshot` returned."""
+        saved = _snapshot_decoder.decode(data)
+        self.version = saved.version
+        self.document = saved.document
+        self.grant = Grant(saved.epoch, saved.holder, saved.standbys)
+        self.jobs.restore(saved.jobs)
--- a/packages/cluster/src/clayfield/cluster/holders.py
+++ b/packages/cluster/src/clayfield/cluster/holders.py
@@ -1,7 +1,10 @@
-"""Who holds the workers: the leader's choice.
+"""Selection of the holder and the standbys by the leader of the control nodes.
 
-One entry at a time holds all workers. It is replaced only when it is gone or
-asks for it, so that two nodes that are both in touch never take turns.
+One entry node at a time, the holder, schedules all workers under a grant. It
+is replaced only when it is lost or stopping, so that the grant does not
+alternate between two connected nodes. A standby is an entry node that
+schedules the workers of its hall while the hall is partitioned from the
+holder.
 """
 
 from clayfield.base import Clock
@@ -9,21 +12,27 @@
 from clayfield.state.membership import box_of
 from clayfield.wire.cluster import EntryStatus, Grant, NodeGreeting
 
-# A stream that ended may be back at once; only then is its node taken for
-# lost.
-RECONNECT_MS = 150.0
-# How long a new leader waits for the holder to connect.
-TAKEOVER_MS = 1300.0
-# How long the first entries are waited for, so that there is a choice.
-FIRST_CHOICE_MS = 600.0
-# A grant that did not come into force is proposed again after so long.
-PROPOSAL_MS = 1000.0
-# How long a stand-by is missed before another is named.
-STANDBY_MISSED_MS = 2500.0
+# Time for a disconnected holder to connect again before it is replaced.
+RECONNECT_GRACE_MS = 150.0
+# Time for the holder to connect to a new leader before it is replaced.
+NEW_LEADER_GRACE_MS = 1300.0
+# Time from the first connection of an entry node to the first grant, so that
+# other entry nodes can connect.
+INITIAL_WAIT_MS = 600.0
+# Time after which a grant that was not committed is proposed again.
+PROPOSAL_TIMEOUT_MS = 1000.0
+# Time for a standby to connect before another is selected.
+STANDBY_GRACE_MS = 2500.0
 
 
-class _Entry:
-    """An entry that is connected."""
+class _EntryNode:
+    """A connected entry node.
+
+    Attributes:
+        hall: hall of the node.
+        since_ms: time at which it connected, in ms.
+        status: latest heartbeat.
+    """
 
     __slots__ = ("hall", "since_ms", "status")
 
@@ -34,155 +43,169 @@
 
 
 class HolderChoice:
-    """What a leader knows of the entries, and whom it would choose."""
+    """Tracks the connected entry nodes and selects holder and standbys."""
 
     __slots__ = (
         "_clock",
-        "_entries",
-        "_led_since_ms",
-        "_missed_since",
+        "_disconnected_since",
+        "_entry_nodes",
+        "_leading_since_ms",
         "_proposed_ms",
     )
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._entries: dict[str, _Entry] = {}
-        self._missed_since: dict[str, float] = {}
-        self._led_since_ms: float | None = None
-        self._proposed_ms = -PROPOSAL_MS
+        self._entry_nodes: dict[str, _EntryNode] = {}
+        self._disconnected_since: dict[str, float] = {}
+        self._leading_since_ms: float | None = None
+        self._proposed_ms = -PROPOSAL_TIMEOUT_MS
 
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that an entry is connected."""
+        """Handles a new connection of an entry node."""
         now_ms = self._clock.now_ms()
-        self._entries[greeting.node] = _Entry(greeting.hall, now_ms)
-        self._missed_since.pop(greeting.node, None)
+        self._entry_nodes[greeting.node] = _EntryNode(greeting.hall, now_ms)
+        self._disconnected_since.pop(greeting.node, None)
 
     def on_closed(self, node: str) -> None:
-        """Learns that an entry is not connected any more."""
-        if self._entries.pop(node, None):
-            self._missed_since[node] = self._clock.now_ms()
+        """Handles the end of the connection of an entry node."""
+        if self._entry_nodes.pop(node, None):
+            self._disconnected_since[node] = self._clock.now_ms()
 
     def on_status(self, node: str, status: EntryStatus) -> None:
-        """Takes an entry's heartbeat."""
-        entry = self._entries.get(node)
+        """Records a heartbeat of an entry node."""
+        entry = self._entry_nodes.get(node)
         if entry:
             entry.status = status
 
     def nodes(self) -> list[str]:
-        """Returns the connected entries."""
-        return list(self._entries)
+        """Returns the names of the connected entry nodes."""
+        return list(self._entry_nodes)
 
     def status_of(self, node: str) -> EntryStatus | None:
-        """Returns an entry's latest heartbeat, None if not connected."""
-        entry = self._entries.get(node)
+        """Returns a node's latest heartbeat, None if it is not connected."""
+        entry = self._entry_nodes.get(node)
         return entry.status if entry else None
 
     def on_follow(self) -> None:
-        """Learns that this node does not lead."""
-        self._led_since_ms = None
+        """Records that this control node is not the leader."""
+        self._leading_since_ms = None
 
     def propose(self, grant: Grant) -> SetGrant | None:
-        """Returns the grant that should follow the present one, if any."""
+        """Returns the grant to propose after the current one, None if none."""
         now_ms = self._clock.now_ms()
-        if self._led_since_ms is None:
-            self._led_since_ms = now_ms
-        if now_ms - self._proposed_ms < PROPOSAL_MS:
+        if self._leading_since_ms is None:
+            self._leading_since_ms = now_ms
+        if now_ms - self._proposed_ms < PROPOSAL_TIMEOUT_MS:
             return None
-        self._forget_missed(now_ms)
+        self._drop_old_disconnections(now_ms)
         holder = self._next_holder(grant, now_ms)
         if not holder:
             return None
         self._proposed_ms = now_ms
-        return SetGrant(grant.epoch, holder, self._standbys_beside(holder))
+        return SetGrant(grant.epoch, holder, self._select_standbys(holder))
 
     def on_granted(self) -> None:
-        """Learns that a grant has come into force."""
-        self._proposed_ms = -PROPOSAL_MS
+        """Allows the next proposal, as a grant was committed."""
+        self._proposed_ms = -PROPOSAL_TIMEOUT_MS
 
     def _next_holder(self, grant: Grant, now_ms: float) -> str:
-        """Returns whom to grant the workers to, "" to leave them."""
-        present = self._entries.get(grant.holder)
-        if present is None:
-            is_lost = self._is_lost(grant, now_ms)
-            return self._choose(grant.holder) if is_lost else ""
-        if present.status.is_stopping:
-            return self._choose(grant.holder)
-        if present.status.epoch < grant.epoch:
+        """Returns the holder of the next grant, "" if none is needed."""
+        holder = self._entry_nodes.get(grant.holder)
+        if holder is None:
+            is_holder_lost = self._is_holder_lost(grant, now_ms)
+            return self._select_holder(grant.holder) if is_holder_lost else ""
+        if holder.status.is_stopping:
+            return self._select_holder(grant.holder)
+        if holder.status.epoch < grant.epoch:
             return ""
-        if self._is_epoch_wanted(grant) or self._needs_standbys(grant, now_ms):
+        if self._is_new_epoch_requested(grant) or self._needs_standbys(
+            grant, now_ms
+        ):
             return grant.holder
         return ""
 
-    def _is_epoch_wanted(self, grant: Grant) -> bool:
+    def _is_new_epoch_requested(self, grant: Grant) -> bool:
         return any(
             entry.status.needs_epoch and entry.status.epoch == grant.epoch
-            for entry in self._entries.values()
+            for entry in self._entry_nodes.values()
         )
 
-    def _is_lost(self, grant: Grant, now_ms: float) -> bool:
+    def _is_holder_lost(self, grant: Grant, now_ms: float) -> bool:
+        """Returns whether a disconnected holder is to be replaced.
+
+        Without any grant yet, returns whether the first one is due.
+        """
         if not grant.holder:
-            return self._has_choice(now_ms)
+            return self._is_initial_wait_over(now_ms)
         if self._is_superseded(grant.holder):
             return True
-        missed_ms = self._missed_since.get(grant.holder)
-        if missed_ms is not None:
-            return now_ms - missed_ms >= RECONNECT_MS
-        return now_ms - self._led_since_ms >= TAKEOVER_MS
+        disconnected_ms = self._disconnected_since.get(grant.holder)
+        if disconnected_ms is not None:
+            return now_ms - disconnected_ms >= RECONNECT_GRACE_MS
+        return now_ms - self._leading_since_ms >= NEW_LEADER_GRACE_MS
 
     def _is_superseded(self, node: str) -> bool:
-        """Tells whether a later process speaks from a node's address."""
+        """Returns whether another node is connected with a node's address."""
         address = box_of(node)
         return any(
             box_of(other) == address and other != node
-            for other in self._entries
+            for other in self._entry_nodes
         )
 
-    def _has_choice(self, now_ms: float) -> bool:
-        first_ms = min(
-            (entry.since_ms for entry in self._entries.values()),
+    def _is_initial_wait_over(self, now_ms: float) -> bool:
+        first_connected_ms = min(
+            (entry.since_ms for entry in self._entry_nodes.values()),
             default=now_ms,
         )
-        return now_ms - first_ms >= FIRST_CHOICE_MS
+        return now_ms - first_connected_ms >= INITIAL_WAIT_MS
 
-    def _choose(self, not_this: str) -> str:
-        """Returns the entry to hold next: one of the fullest hall."""
+    def _select_holder(self, excluded: str) -> str:
+        """Returns the entry node to become holder, "" if there is none.
+
+        Of all but the excluded one, it is the one that connected first in the
+        hall with the most entry nodes.
+        """
         candidates = [
             node
-            for node, entry in self._entries.items()
-            if node != not_this and not entry.status.is_stopping
+            for node, entry in self._entry_nodes.items()
+            if node != excluded and not entry.status.is_stopping
         ]
         return min(candidates, key=self._rank, default="")
 
     def _rank(self, node: str) -> tuple[int, float, str]:
-        hall = self._entries[node].hall
-        beside = sum(one.hall == hall for one in self._entries.values())
-        return -beside, self._entries[node].since_ms, node
+        """Returns a sort key: size of the hall, then time of connection."""
+        hall = self._entry_nodes[node].hall
+        hall_size = sum(
+            entry.hall == hall for entry in self._entry_nodes.values()
+        )
+        return -hall_size, self._entry_nodes[node].since_ms, node
 
-    def _standbys_beside(self, holder: str) -> dict[str, str]:
-        own_hall = self._entries[holder].hall
+    def _select_standbys(self, holder: str) -> dict[str, str]:
+        """Returns a standby for each hall but the holder's, by hall."""
+        holder_hall = self._entry_nodes[holder].hall
         standbys: dict[str, str] = {}
-        for node in sorted(self._entries, key=self._rank):
-            entry = self._entries[node]
-            if entry.hall != own_hall and not entry.status.is_stopping:
+        for node in sorted(self._entry_nodes, key=self._rank):
+            entry = self._entry_nodes[node]
+            if entry.hall != holder_hall and not entry.status.is_stopping:
                 standbys.setdefault(entry.hall, node)
         return standbys
 
     def _needs_standbys(self, grant: Grant, now_ms: float) -> bool:
-        """Tells whether a hall lacks a stand-by that it could have."""
-        holder = self._entries[grant.holder]
-        if now_ms - holder.since_ms < STANDBY_MISSED_MS:
+        """Returns whether a hall lacks a standby and has a node for it."""
+        holder = self._entry_nodes[grant.holder]
+        if now_ms - holder.since_ms < STANDBY_GRACE_MS:
             return False
-        for hall, node in self._standbys_beside(grant.holder).items():
-            named = grant.standbys.get(hall, "")
-            if named in self._entries:
+        for hall, node in self._select_standbys(grant.holder).items():
+            standby = grant.standbys.get(hall, "")
+            if standby in self._entry_nodes:
                 continue
-            missed_ms = self._missed_since.get(named, 0.0)
-            if node and now_ms - missed_ms >= STANDBY_MISSED_MS:
+            disconnected_ms = self._disconnected_since.get(standby, 0.0)
+            if node and now_ms - disconnected_ms >= STANDBY_GRACE_MS:
                 return True
         return False
 
-    def _forget_missed(self, now_ms: float) -> None:
-        horizon_ms = now_ms - STANDBY_MISSED_MS * 4
-        for node, missed_ms in list(self._missed_since.items()):
-            if missed_ms < horizon_ms:
-                del self._missed_since[node]
+    def _drop_old_disconnections(self, now_ms: float) -> None:
+        cutoff_ms = now_ms - STANDBY_GRACE_MS * 4
+        for node, disconnected_ms in list(self._disconnected_since.items()):
+            if disconnected_ms < cutoff_ms:
+                del self._disconnected_since[node]
--- a/packages/cluster/src/clayfield/cluster/jobbook.py
+++ b/packages/cluster/src/clayfield/cluster/jobbook.py
@@ -1,7 +1,8 @@
-"""The replicated record of kept jobs.
+"""The job store: the replicated record of kept jobs.
 
-A job stands in it from its acceptance until it is forgotten, some time after
-its end. Of an ended job only its key and how it ended are kept.
+A kept job is durable: once its acceptance is committed, it runs to its end.
+The store holds a job from its acceptance until some time after its end. Of an
+ended job it holds only the key and the state in which it ended.
 """
 
 import msgspec
@@ -19,26 +20,42 @@
 
 
 class JobsImage(msgspec.Struct, array_like=True):
-    """A whole record, as it stands in a snapshot."""
+    """A snapshot of the job store.
+
+    Attributes:
+        open_jobs: jobs that have not ended, oldest first.
+        ended: end state of the other jobs, by key.
+    """
 
     open_jobs: list[KeptJob] = []
     ended: dict[str, JobState] = {}
 
 
-class _Open:
-    """A job that has not ended."""
+class _OpenJob:
+    """A job that has not ended.
+
+    Attributes:
+        kept: the job and the progress of its tasks.
+        remaining: number of tasks that are not done.
+        since_ms: time of its acceptance on this node's clock, in ms.
+    """
 
-    __slots__ = ("kept", "left", "since_ms")
+    __slots__ = ("kept", "remaining", "since_ms")
 
     def __init__(self, kept: KeptJob, since_ms: float):
         self.kept = kept
         self.since_ms = since_ms
         done = sum(len(indices) for indices in kept.done)
-        self.left = kept.job.task_count - done
+        self.remaining = kept.job.task_count - done
 
 
-class _Ended:
-    """How a job ended, and since when this node knows."""
+class _EndedJob:
+    """A job that has ended.
+
+    Attributes:
+        state: state in which it ended.
+        since_ms: time at which this node applied or restored the end, in ms.
+    """
 
     __slots__ = ("since_ms", "state")
 
@@ -48,24 +65,24 @@
 
 
 class JobBook:
-    """Kept jobs by key.
+    """The kept jobs, by key.
 
-    What it holds follows from the changes alone. The clock only tells since
-    when this node has known of a job; a snapshot brings that of open jobs as
-    their age, which decides nothing here.
+    The jobs and their states depend on the applied changes only. The clock
+    serves for the ages of jobs; a snapshot contains those of open jobs. Ages
+    do not affect how changes are applied.
     """
 
-    __slots__ = ("_clock", "_ended", "_open")
+    __slots__ = ("_clock", "_ended_jobs", "_open_jobs")
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._open: dict[str, _Open] = {}
-        self._ended: dict[str, _Ended] = {}
+        self._open_jobs: dict[str, _OpenJob] = {}
+        self._ended_jobs: dict[str, _EndedJob] = {}
 
     # Changes.
 
     def apply(self, changes: tuple[JobChange, ...]) -> None:
-        """Applies changes in their order."""
+        """Applies changes in the given order."""
         for change in changes:
             match change:
                 case AcceptJob(job=job):
@@ -74,70 +91,75 @@
                 case EndTask():
                     self._end_task(change)
                 case CancelAccepted(key=key):
-                    if key in self._open:
+                    if key in self._open_jobs:
                         self._end(key, JobState.CANCELLED)
 
     def forget(self, keys: tuple[str, ...]) -> None:
-        """Drops jobs that have ended."""
+        """Removes ended jobs; other keys are ignored."""
         for key in keys:
-            self._ended.pop(key, None)
+            self._ended_jobs.pop(key, None)
 
     def _accept(self, kept: KeptJob) -> None:
         key = kept.job.key
-        if key not in self._open and key not in self._ended:
-            self._open[key] = _Open(kept, self._clock.now_ms())
+        if key not in self._open_jobs and key not in self._ended_jobs:
+            self._open_jobs[key] = _OpenJob(kept, self._clock.now_ms())
 
     def _end_task(self, change: EndTask) -> None:
-        known = self._open.get(change.key)
-        if known is None:
+        entry = self._open_jobs.get(change.key)
+        if entry is None:
             return
         if change.is_done:
-            self._note_done(known, change)
+            self._record_done(entry, change)
         else:
-            self._note_failure(known, change)
+            self._record_failure(entry, change)
 
-    def _note_done(self, known: _Open, change: EndTask) -> None:
-        job = known.kept.job
-        done = known.kept.done[job.stage_of(change.step, change.time)]
+    def _record_done(self, entry: _OpenJob, change: EndTask) -> None:
+        job = entry.kept.job
+        done = entry.kept.done[job.stage_of(change.step, change.time)]
         if change.index in done:
             return
         done.append(change.index)
-        known.left -= 1
-        if not known.left:
+        entry.remaining -= 1
+        if not entry.remaining:
             self._end(change.key, JobState.COMPLETED)
 
-    def _note_failure(self, known: _Open, change: EndTask) -> None:
-        stage = known.kept.job.stage_of(change.step, change.time)
-        failures = _failures_of(known.kept, stage, change.index)
+    def _record_failure(self, entry: _OpenJob, change: EndTask) -> None:
+        stage = entry.kept.job.stage_of(change.step, change.time)
+        failures = _find_or_add_failures(entry.kept, stage, change.index)
         if change.run <= failures.last_run:
             return
         failures.last_run = change.run
         failures.count += 1
-        if failures.count >= known.kept.job.max_attempts:
+        if failures.count >= entry.kept.job.max_attempts:
             self._end(change.key, JobState.FAILED)
 
     def _end(self, key: str, state: JobState) -> None:
-        del self._open[key]
-        self._ended[key] = _Ended(state, self._clock.now_ms())
+        del self._open_jobs[key]
+        self._ended_jobs[key] = _EndedJob(state, self._clock.now_ms())
 
-    # Questions.
+    # Queries.
 
     def open_jobs(self) -> list[KeptJob]:
         """Returns the jobs that have not ended, oldest first."""
         now_ms = self._clock.now_ms()
-        for known in self._open.values():
-            known.kept.age_ms = now_ms - known.since_ms
-        return [known.kept for known in self._open.values()]
+        for entry in self._open_jobs.values():
+            entry.kept.age_ms = now_ms - entry.since_ms
+        return [entry.kept for entry in self._open_jobs.values()]
 
     def ended(self) -> dict[str, JobState]:
-        """Returns how other jobs ended, the earliest end first."""
-        return {key: known.state for key, known in self._ended.items()}
+        """Returns the states of the ended jobs by key, earliest end first."""
+        return {key: entry.state for key, entry in self._ended_jobs.items()}
 
     def ended_before(self, before_ms: float, most: int) -> tuple[str, ...]:
-        """Returns the keys of jobs whose ends were known before a time."""
+        """Returns the keys of jobs that ended before a time, earliest first.
+
+        Args:
+            before_ms: time on this node's clock, in ms.
+            most: maximum number of keys to return.
+        """
         keys: list[str] = []
-        for key, known in self._ended.items():
-            if known.since_ms >= before_ms or len(keys) >= most:
+        for key, entry in self._ended_jobs.items():
+            if entry.since_ms >= before_ms or len(keys) >= most:
                 break
             keys.append(key)
         return tuple(keys)
@@ -145,22 +167,25 @@
     # Snapshots.
 
     def image(self) -> JobsImage:
-        """Returns the whole record."""
+        """Returns the whole store as part of a snapshot."""
         return JobsImage(self.open_jobs(), self.ended())
 
     def restore(self, image: JobsImage) -> None:
-        """Replaces the record."""
+        """Replaces the store by one that `image` returned."""
         now_ms = self._clock.now_ms()
-        self._open = {
-            kept.job.key: _Open(kept, now_ms - kept.age_ms)
+        self._open_jobs = {
+            kept.job.key: _OpenJob(kept, now_ms - kept.age_ms)
             for kept in image.open_jobs
         }
-        self._ended = {
-            key: _Ended(state, now_ms) for key, state in image.ended.items()
+        self._ended_jobs = {
+            key: _EndedJob(state, now_ms) for key, state in image.ended.items()
         }
 
 
-def _failures_of(kept: KeptJob, stage: int, index: int) -> TaskFailures:
+def _find_or_add_failures(
+    kept: KeptJob, stage: int, index: int
+) -> TaskFailures:
+    """Returns the failures of a task, added to the job if there are none."""
     for failures in kept.failures:
         if (failures.stage, failures.index) == (stage, index):
             return failures
--- a/packages/cluster/src/clayfield/cluster/ledger.py
+++ b/packages/cluster/src/clayfield/cluster/ledger.py
@@ -1,8 +1,8 @@
-"""The leader's side of the holder's writes of kept jobs.
+"""The leader's side of the job store: requests of the holder on kept jobs.
 
-The holder is answered only by a leader that is sure of the newest state. A
-write is proposed under the epoch that the holder acts on; the replicated
-state refuses it once another grant has come into force.
+Only a leader whose state is certain to be the latest answers the holder. A
+write is proposed with the epoch of the holder's grant; the replicated state
+rejects it once another grant is active.
 """
 
 from clayfield.base import Clock
@@ -23,17 +23,21 @@
     WriteJobs,
 )
 
-# Jobs in one part of what a new holder loads.
-OPEN_A_PART = 200
-ENDED_A_PART = 5000
-# How often ended jobs are looked through for those to be forgotten, and how
-# many are forgotten at a time.
-FORGET_PAUSE_MS = 1000.0
-FORGET_AT_ONCE = 2000
+# Number of jobs in one part of the reply to a new holder's load request.
+OPEN_JOBS_PER_PART = 200
+ENDED_JOBS_PER_PART = 5000
+# Time between removals of ended jobs, and their number in one removal.
+REMOVAL_INTERVAL_MS = 1000.0
+MAX_REMOVED_AT_ONCE = 2000
 
 
-class _Write:
-    """A holder's write that waits for its commit."""
+class _PendingWrite:
+    """A holder's write that is not yet committed.
+
+    Attributes:
+        node: name of the holder.
+        write: the write request.
+    """
 
     __slots__ = ("node", "write")
 
@@ -43,7 +47,7 @@
 
 
 class LeaderLedger:
-    """What a control node does with the holder's messages while it leads."""
+    """Handles the requests of the holder while this control node leads."""
 
     def __init__(
         self,
@@ -52,34 +56,46 @@
         state: ControlState,
         keep_ended_ms: float,
     ):
+        """Sets up the leader's side.
+
+        Args:
+            clock: source of the current time.
+            consensus: this node's replica of the control log.
+            state: replicated state of the control nodes.
+            keep_ended_ms: time for which the end state of a kept job is
+                stored.
+        """
         self._clock = clock
         self._consensus = consensus
         self._state = state
         self._keep_ended_ms = keep_ended_ms
-        self._writes: dict[tuple[int, int], _Write] = {}
-        self._next_forget_ms = 0.0
+        self._pending_writes: dict[tuple[int, int], _PendingWrite] = {}
+        self._next_removal_ms = 0.0
 
     def on_status(self, node: str, status: EntryStatus) -> list[Action]:
-        """Renews the lease of the holder in force."""
+        """Renews the holder's lease in reply to its heartbeat.
+
+        Heartbeats of other nodes and of earlier epochs are ignored.
+        """
         if not self._is_holder(node, status.epoch):
             return []
         return [Send(node, HolderLease(status.epoch, status.sent_ms))]
 
     def on_load(self, node: str, load: LoadJobs) -> list[Action]:
-        """Answers a holder that asks for all kept jobs."""
+        """Sends all kept jobs to the holder, in parts."""
         if not self._is_holder(node, load.epoch):
             return []
-        return [Send(node, part) for part in self._parts(load.request)]
+        return [Send(node, part) for part in self._make_parts(load.request)]
 
-    def _parts(self, request: int) -> list[JobsLoaded]:
+    def _make_parts(self, request: int) -> list[JobsLoaded]:
         open_jobs = self._state.jobs.open_jobs()
         ended = list(self._state.jobs.ended().items())
         parts: list[JobsLoaded] = []
         while True:
-            open_part = open_jobs[:OPEN_A_PART]
-            ended_part = dict(ended[:ENDED_A_PART])
-            open_jobs = open_jobs[OPEN_A_PART:]
-            ended = ended[ENDED_A_PART:]
+            open_part = open_jobs[:OPEN_JOBS_PER_PART]
+            ended_part = dict(ended[:ENDED_JOBS_PER_PART])
+            open_jobs = open_jobs[OPEN_JOBS_PER_PART:]
+            ended = ended[ENDED_JOBS_PER_PART:]
             is_last = not open_jobs and not ended
             part = JobsLoaded(
                 request, len(parts), is_last, open_part, ended_part
@@ -93,9 +109,9 @@
         if not self._is_holder(node, write.epoch):
             return
         command = encode_command(SetJobs(write.epoch, write.changes))
-        place = self._consensus.propose(command)
-        if place:
-            self._writes[place] = _Write(node, write)
+        position = self._consensus.propose(command)
+        if position:
+            self._pending_writes[position] = _PendingWrite(node, write)
 
     def _is_holder(self, node: str, epoch: int) -> bool:
         grant = self._state.grant
@@ -104,28 +120,32 @@
     def on_applied(
         self, results: list[tuple[int, int, object]]
     ) -> list[Action]:
-        """Learns what commands were applied; tells of writes among them."""
-        told: list[Action] = []
+        """Acknowledges the writes among the commands that were applied.
+
+        Args:
+            results: index, term and result of each applied command.
+        """
+        replies: list[Action] = []
         for index, term, result in results:
-            known = self._writes.pop((index, term), None)
-            if known and result:
-                write = known.write
-                written = JobsWritten(write.epoch, write.sequence)
-                told.append(Send(known.node, written))
-        return told
+            pending = self._pending_writes.pop((index, term), None)
+            if pending and result:
+                write = pending.write
+                reply = JobsWritten(write.epoch, write.sequence)
+                replies.append(Send(pending.node, reply))
+        return replies
 
     def on_follow(self) -> None:
-        """Learns that this node does not lead; the holder asks again."""
-        self._writes.clear()
+        """Drops the pending writes; the holder sends them again."""
+        self._pending_writes.clear()
 
     def forget_ended(self) -> None:
-        """Proposes to forget the jobs that ended long ago."""
+        """Proposes to remove the jobs whose retention time is over."""
         now_ms = self._clock.now_ms()
-        if now_ms < self._next_forget_ms:
+        if now_ms < self._next_removal_ms:
             return
-        self._next_forget_ms = now_ms + FORGET_PAUSE_MS
+        self._next_removal_ms = now_ms + REMOVAL_INTERVAL_MS
         keys = self._state.jobs.ended_before(
-            now_ms - self._keep_ended_ms, FORGET_AT_ONCE
+            now_ms - self._keep_ended_ms, MAX_REMOVED_AT_ONCE
         )
         if keys:
             self._consensus.propose(encode_command(ForgetJobs(keys)))
--- a/packages/cluster/src/clayfield/cluster/voters.py
+++ b/packages/cluster/src/clayfield/cluster/voters.py
@@ -1,45 +1,49 @@
-"""Which control nodes vote, changed one at a time."""
+"""Selection of the voters among the control nodes, one change at a time."""
 
 from clayfield.state.consensus import Consensus
 from clayfield.state.membership import box_of
 from clayfield.wire.messages import Members
 
 MAX_LAG_TO_VOTE = 16
-# A voter that was silent for so long gives its vote to one that is not.
-SILENT_MS = 1800.0
+# Time without a connection after which a voter can be replaced.
+VOTER_TIMEOUT_MS = 1800.0
 
 
 class VoterPolicy:
-    """Brings the voters nearer to the wanted ones.
+    """Keeps the number of voters at its target and replaces lost voters.
 
-    A voter is replaced when its address speaks as another node, since its
-    disk is then gone, or when it was silent for `SILENT_MS` and another node
-    has caught up. Nothing else takes a vote away.
+    A voter is removed only when a node that has caught up can replace it, or
+    when there are more voters than the target, and then only if
+
+    - another node is connected with its address, which means that its disk
+      was replaced, or
+    - it has not been connected for `VOTER_TIMEOUT_MS`.
     """
 
-    __slots__ = ("_silent_since", "_wanted")
+    __slots__ = ("_disconnected_since", "_voter_count")
 
-    def __init__(self, wanted: int):
-        """Starts.
+    def __init__(self, voter_count: int):
+        """Sets up the policy.
 
         Args:
-            wanted: how many are to vote.
+            voter_count: target number of voters.
         """
-        self._wanted = wanted
-        self._silent_since: dict[str, float] = {}
+        self._voter_count = voter_count
+        self._disconnected_since: dict[str, float] = {}
 
     def step(
         self, consensus: Consensus, live: dict[str, str], now_ms: float
     ) -> Members | None:
-        """Returns the members to propose next, None when all is well.
+        """Returns the members to propose next, None if no change is needed.
 
         Args:
-            consensus: a settled leader's log.
-            live: by address the control node that is connected, own included.
-            now_ms: the time.
+            consensus: the log of a leader that has committed an entry of its
+                term.
+            live: connected control nodes by address, the leader included.
+            now_ms: current time, in ms.
         """
         members = consensus.members
-        self._note_silent(members, live, now_ms)
+        self._track_disconnected(members, live, now_ms)
         newcomers = [n for n in live.values() if n not in members.voters]
         for node in sorted(newcomers):
             if node not in members.learners:
@@ -48,56 +52,66 @@
         if stale:
             return _without_learner(members, stale[0])
         ready = [n for n in sorted(newcomers) if _is_caught_up(consensus, n)]
-        return self._replace(members, ready, live, now_ms)
+        return self._next_voters(members, ready, live, now_ms)
 
-    def _replace(
+    def _next_voters(
         self,
         members: Members,
         ready: list[str],
         live: dict[str, str],
         now_ms: float,
     ) -> Members | None:
+        """Returns the members with one voter added or removed.
+
+        Args:
+            members: current members.
+            ready: connected nodes that have caught up and are no voters.
+            live: connected control nodes by address.
+            now_ms: current time, in ms.
+        """
         if not ready:
-            return self._shrink(members, live, now_ms)
-        if len(members.voters) < self._wanted:
+            return self._remove_surplus_voter(members, live, now_ms)
+        if len(members.voters) < self._voter_count:
             return _with_voter(members, ready[0])
         for voter in members.voters:
-            if self._is_gone(voter, live, now_ms):
+            if self._is_replaceable(voter, live, now_ms):
                 return Members(
                     tuple(v for v in members.voters if v != voter),
                     members.learners,
                 )
         return None
 
-    def _shrink(
+    def _remove_surplus_voter(
         self, members: Members, live: dict[str, str], now_ms: float
     ) -> Members | None:
-        """Takes the vote of a node too many."""
-        if len(members.voters) <= self._wanted:
+        """Returns the members without a lost voter above the target number."""
+        if len(members.voters) <= self._voter_count:
             return None
         for voter in members.voters:
-            if self._is_gone(voter, live, now_ms):
+            if self._is_replaceable(voter, live, now_ms):
                 return Members(
                     tuple(v for v in members.voters if v != voter),
                     members.learners,
                 )
         return None
 
-    def _note_silent(
+    def _track_disconnected(
         self, members: Members, live: dict[str, str], now_ms: float
     ) -> None:
         for voter in members.voters:
             if live.get(box_of(voter)) == voter:
-                self._silent_since.pop(voter, None)
+                self._disconnected_since.pop(voter, None)
             else:
-                self._silent_since.setdefault(voter, now_ms)
+                self._disconnected_since.setdefault(voter, now_ms)
 
-    def _is_gone(self, voter: str, live: dict[str, str], now_ms: float) -> bool:
-        heard = live.get(box_of(voter))
-        if heard is not None and heard != voter:
+    def _is_replaceable(
+        self, voter: str, live: dict[str, str], now_ms: float
+    ) -> bool:
+        connected = live.get(box_of(voter))
+        if connected is not None and connected != voter:
             return True
-        since_ms = self._silent_since.get(voter)
-        return since_ms is not None and now_ms - since_ms >= SILENT_MS
+        since_ms = self._disconnected_since.get(voter)
+        return since_ms is not None and now_ms - since_ms >= VOTER_TIMEOUT_MS
 
 
 def _is_caught_up(consensus: Consensus, node: str) -> bool:
--- a/packages/cluster/src/clayfield/cluster/workers.py
+++ b/packages/cluster/src/clayfield/cluster/workers.py
@@ -1,72 +1,84 @@
-"""The workers that a control node has heard of."""
+"""The workers that announce themselves to a control node."""
 
 from clayfield.base import Clock
 from clayfield.wire.jobs import WorkerInfo
 
-# Heartbeats that may be missed before a worker is forgotten.
-FORGET_BEATS = 5
+# Number of missed heartbeats after which a worker is removed.
+MAX_MISSED_HEARTBEATS = 5
 
 
 class WorkerDirectory:
-    """Statements of workers, the latest of each life."""
+    """The latest heartbeat of each worker, by the name of its incarnation."""
 
-    __slots__ = ("_clock", "_forget_ms", "_heard_ms", "_infos", "_left")
+    __slots__ = (
+        "_clock",
+        "_expiry_ms",
+        "_infos",
+        "_last_heartbeat_ms",
+        "_left_ms",
+    )
 
     def __init__(self, clock: Clock, heartbeat_ms: float):
+        """Sets up an empty directory.
+
+        Args:
+            clock: source of the current time.
+            heartbeat_ms: time between the heartbeats of a worker.
+        """
         self._clock = clock
-        self._forget_ms = heartbeat_ms * FORGET_BEATS
+        self._expiry_ms = heartbeat_ms * MAX_MISSED_HEARTBEATS
         self._infos: dict[str, WorkerInfo] = {}
-        self._heard_ms: dict[str, float] = {}
-        self._left: dict[str, float] = {}
+        self._last_heartbeat_ms: dict[str, float] = {}
+        self._left_ms: dict[str, float] = {}
 
     def on_statement(self, info: WorkerInfo) -> bool:
-        """Takes a statement.
+        """Records a heartbeat of a worker.
 
         Returns:
-            Whether it says something new; a late one or a repetition does
-            not.
+            Whether the worker is new or has changed; False for an outdated
+            heartbeat and for one of a worker that has left.
         """
-        if info.name in self._left:
+        if info.name in self._left_ms:
             return False
-        known = self._infos.get(info.name)
-        if known and info.sequence <= known.sequence:
+        previous = self._infos.get(info.name)
+        if previous and info.sequence <= previous.sequence:
             return False
-        self._heard_ms[info.name] = self._clock.now_ms()
+        self._last_heartbeat_ms[info.name] = self._clock.now_ms()
         self._infos[info.name] = info
-        return known is None or _without_sequence(known, info)
+        return previous is None or _has_changed(previous, info)
 
     def on_leave(self, name: str) -> None:
-        """Learns that a worker has taken its leave."""
+        """Removes a worker that has left."""
         self._infos.pop(name, None)
-        self._heard_ms.pop(name, None)
-        self._left[name] = self._clock.now_ms()
+        self._last_heartbeat_ms.pop(name, None)
+        self._left_ms[name] = self._clock.now_ms()
 
     def forget_silent(self) -> None:
-        """Drops workers that were not heard of for long."""
-        since_ms = self._clock.now_ms() - self._forget_ms
-        for name, heard_ms in list(self._heard_ms.items()):
-            if heard_ms < since_ms:
-                del self._heard_ms[name]
+        """Removes the workers that missed too many heartbeats."""
+        cutoff_ms = self._clock.now_ms() - self._expiry_ms
+        for name, last_ms in list(self._last_heartbeat_ms.items()):
+            if last_ms < cutoff_ms:
+                del self._last_heartbeat_ms[name]
                 del self._infos[name]
-        for name, left_ms in list(self._left.items()):
-            if left_ms < since_ms:
-                del self._left[name]
+        for name, left_ms in list(self._left_ms.items()):
+            if left_ms < cutoff_ms:
+                del self._left_ms[name]
 
     def all(self) -> tuple[WorkerInfo, ...]:
-        """Returns the latest statements."""
+        """Returns the latest heartbeats."""
         return tuple(self._infos.values())
 
     def __contains__(self, name: str) -> bool:
         return name in self._infos
 
 
-def _without_sequence(known: WorkerInfo, info: WorkerInfo) -> bool:
-    """Tells whether two statements differ in more than their number."""
+def _has_changed(previous: WorkerInfo, info: WorkerInfo) -> bool:
+    """Returns whether heartbeats differ in more than the sequence number."""
     return (
-        known.state is not info.state
-        or known.address != info.address
-        or known.cpu != info.cpu
-        or known.memory_mb != info.memory_mb
-        or known.gpu != info.gpu
-        or known.labels != info.labels
+        previous.state is not info.state
+        or previous.address != info.address
+        or previous.cpu != info.cpu
+        or previous.memory_mb != info.memory_mb
+        or previous.gpu != info.gpu
+        or previous.labels != info.labels
     )
--- a/packages/state/src/clayfield/state/configlog.py
+++ b/packages/state/src/clayfield/state/configlog.py
@@ -80,7 +80,7 @@
 _snapshot_decoder = msgspec.msgpack.Decoder(_ConfigLogSnapshot)
 
 
-def digest_of(config: bytes) -> bytes:
+def compute_digest(config: bytes) -> bytes:
     """Returns the digest of a configuration in canonical form."""
     return hashlib.blake2b(config, digest_size=DIGEST_BYTES).digest()
 
@@ -137,12 +137,12 @@
         accepted before, or can't be accepted any more.
         """
         result = self._find_earlier_result(
-            submitted.replaces, digest_of(to_bytes(submitted))
+            submitted.replaces, compute_digest(to_bytes(submitted))
         )
         if result:
             return result
         delta = diff(self.current, submitted)
-        digest = digest_of(to_bytes(submitted))
+        digest = compute_digest(to_bytes(submitted))
         return msgspec.msgpack.encode(_Apply(digest, delta))
 
     def _find_earlier_result(
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,4 +1,4 @@
-"""Control nodes on a manual clock: configuration, voters and grants."""
+"""Tests of control nodes on a manual clock: configuration, voters, grants."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     return site.settled.get(request)
 
 
-def test_the_highest_version_wins_and_older_ones_are_acknowledged():
+def test_highest_version_is_active_and_lower_writes_are_acknowledged():
     site = _site()
     assert _write(site, 1, 5) is WriteOutcome.IN_FORCE
     assert _write(site, 2, 3) is WriteOutcome.IN_FORCE
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_what_was_acknowledged_survives_any_one_lost_disk(seed):
+def test_acknowledged_write_survives_loss_of_one_disk_at_a_time(seed):
     site = _site(seed)
     _write(site, 1, 7)
     address = site.first[seed % 3]
@@ -58,9 +58,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_all_processes_killed_at_once_come_back_with_what_was_acknowledged(
-    seed,
-):
+def test_acknowledged_write_survives_restart_of_all_nodes(seed):
     site = _site(seed)
     _write(site, 1, 4)
     for address in site.first:
@@ -73,7 +71,7 @@
 
 
 @pytest.mark.parametrize("writes", range(60, 70))
-def test_a_log_that_is_all_snapshot_survives_a_kill_of_all(writes):
+def test_log_is_restored_when_its_snapshot_covers_all_entries(writes):
     site = _site()
     for version in range(1, writes):
         assert site.write(version, version)
@@ -89,7 +87,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_node_that_is_cut_off_is_not_sure_and_takes_nothing(seed):
+def test_partitioned_leader_rejects_writes_and_catches_up_later(seed):
     site = _site(seed)
     old = site.leader()
     site.cut_off(box_of(old.node))
@@ -103,11 +101,11 @@
     assert old.state.version == 3
 
 
-def test_a_replaced_machine_gets_the_vote_of_the_one_that_is_gone():
+def test_replacement_node_becomes_voter_in_place_of_lost_node():
     site = _site()
     _write(site, 1, 2)
-    gone = site.first[0]
-    site.kill(gone)
+    lost = site.first[0]
+    site.kill(lost)
     site.start("10.0.9.1:7000")
     site.run(4000)
     voters = {box_of(v) for v in site.leader().consensus.members.voters}
@@ -117,29 +115,29 @@
     assert site.leader().state.version == 2
 
 
-def test_a_silent_voter_keeps_its_vote_while_nobody_can_take_it():
+def test_unreachable_voter_is_kept_without_a_replacement():
     site = _site()
     site.kill(site.first[2])
     site.run(20_000)
     assert len(site.leader().consensus.members.voters) == 3
 
 
-def test_the_log_is_cut_short_by_snapshots():
+def test_snapshots_limit_log_length_and_restore_an_empty_node():
     site = _site()
     for version in range(1, 400):
         assert site.write(version, version)
         site.run(5)
     site.run(300)
     assert all(len(n.consensus._log) <= 64 for n in site.nodes.values())
-    lone = site.first[0]
-    site.kill(lone)
-    site.wipe(lone)
-    site.start(lone)
+    empty = site.first[0]
+    site.kill(empty)
+    site.wipe(empty)
+    site.start(empty)
     site.run(SETTLE_MS)
-    assert site.nodes[lone].state.version == 399
+    assert site.nodes[empty].state.version == 399
 
 
-def test_one_entry_is_granted_the_workers_and_keeps_them():
+def test_one_entry_node_becomes_holder_and_keeps_the_grant():
     site = _site(entries=tuple(ENTRIES))
     site.run(10_000)
     assert list(site.grants) == [1]
@@ -149,7 +147,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_lost_holder_is_followed_within_half_a_second(seed):
+def test_lost_holder_is_replaced_within_half_a_second(seed):
     site = _site(seed, tuple(ENTRIES))
     site.run(3000)
     holder = site.grants[1].holder
@@ -159,7 +157,7 @@
     assert site.grants[2].holder != holder
 
 
-def test_when_all_restart_a_holder_is_granted_as_soon_as_one_leads():
+def test_holder_is_granted_after_election_when_all_nodes_restart():
     site = _site(entries=tuple(ENTRIES))
     for address in site.first:
         site.kill(address)
@@ -176,7 +174,7 @@
     assert site.grants[2].holder.endswith("/2")
 
 
-def test_a_holder_that_stops_is_followed_by_another():
+def test_stopping_holder_is_replaced():
     site = _site(entries=tuple(ENTRIES))
     holder = site.grants[1].holder
     site.tell_status(holder, EntryStatus(0, 1, True))
@@ -184,7 +182,7 @@
     assert site.grants[2].holder != holder
 
 
-def test_a_wanted_epoch_goes_to_the_same_holder():
+def test_requested_epoch_is_granted_to_the_same_holder():
     site = _site(entries=tuple(ENTRIES))
     site.tell_status("e4/1", EntryStatus(0, 1, False, True))
     site.run(200)
@@ -192,7 +190,7 @@
     assert site.grants[2].holder == site.grants[1].holder
 
 
-def test_a_new_leader_leaves_a_living_holder_alone():
+def test_new_leader_keeps_a_connected_holder():
     site = _site(entries=tuple(ENTRIES))
     site.kill(box_of(site.leader().node))
     site.run(6000)
@@ -200,7 +198,7 @@
     assert list(site.grants) == [1]
 
 
-def test_late_statements_of_a_worker_change_nothing():
+def test_outdated_heartbeat_of_a_worker_is_ignored():
     site = _site(entries=("e1/1",))
     node = site.leader()
     draining = _info(WorkerState.DRAINING, 5)
