--- a/packages/dispatch/src/clayfield/dispatch/estimate.py
+++ b/packages/dispatch/src/clayfield/dispatch/estimate.py
@@ -1,10 +1,10 @@
-"""Estimates how long a task of a service takes."""
+"""Estimates the duration of a service's tasks."""
 
-WEIGHT = 0.02
+SMOOTHING = 0.02
 
 
 class Estimates:
-    """A running mean for each service, starting from its declaration."""
+    """Exponential moving averages of task duration by service."""
 
     __slots__ = ("_mean_ms",)
 
@@ -12,10 +12,15 @@
         self._mean_ms: dict[str, float] = {}
 
     def mean_ms(self, service: str, expected_ms: float) -> float:
-        """Returns the mean time of a task in milliseconds."""
+        """Returns the mean duration of a service's tasks, in ms.
+
+        Args:
+            service: name of the service.
+            expected_ms: declared duration, used until one is measured.
+        """
         return self._mean_ms.get(service, expected_ms)
 
     def observe(self, service: str, expected_ms: float, took_ms: float) -> None:
-        """Takes one measured time."""
+        """Adds one measured duration."""
         mean_ms = self.mean_ms(service, expected_ms)
-        self._mean_ms[service] = mean_ms + WEIGHT * (took_ms - mean_ms)
+        self._mean_ms[service] = mean_ms + SMOOTHING * (took_ms - mean_ms)
--- a/packages/dispatch/src/clayfield/dispatch/queue.py
+++ b/packages/dispatch/src/clayfield/dispatch/queue.py
@@ -1,40 +1,43 @@
-"""The waiting requests of one pool, by class and remaining work."""
+"""Queues the requests of one pool by priority class and remaining work."""
 
 import heapq
 
 from clayfield.wire.messages import SlotRequest
 
-# A job that has waited this many ms counts as one ms shorter.
+# Each ms of waiting counts as this many ms less of remaining work.
 AGEING = 0.1
 FIRST_CHECK_MS = 3000.0
-SPARE_ARRIVALS = 64
+# Closed requests are removed from a rank's arrival list when it is longer
+# than this plus twice the heap.
+MIN_ARRIVALS_TO_PRUNE = 64
 
 
 class Waiting:
-    """One request that waits for slots.
+    """A queued request for slots.
 
     Attributes:
-        node: who asked.
-        pool: whose slots it waits for.
-        request: what was asked.
-        rank: of its class, 0 the first.
-        missing: slots still to grant.
-        granted: slots granted so far.
-        task_ms: the estimated time of a task.
-        arrived_ms: when it was asked for, on the scheduler's clock.
-        deadline_ms: by when its tasks must have ended; infinite for none.
-        check_ms: when to see again whether any worker can serve it.
-        racks: racks that its tasks are on.
-        is_open: False once it was refused, cancelled or granted in full.
+        node: node of the box that sent the request.
+        pool: pool of the requested slots.
+        request: the request as received.
+        rank: rank of its priority class; 0 is served first.
+        missing: number of slots still to grant.
+        granted: number of slots granted so far.
+        task_ms: estimated duration of a task, in ms.
+        arrived_ms: time of arrival at the box, on the scheduler's clock.
+        deadline_ms: time by which its tasks must have ended; infinite for
+            none.
+        next_check_ms: time of the next check for a suitable worker.
+        racks: racks of the workers granted so far.
+        is_open: False once it is refused, cancelled or granted in full.
     """
 
     __slots__ = (
         "arrived_ms",
-        "check_ms",
         "deadline_ms",
         "granted",
         "is_open",
         "missing",
+        "next_check_ms",
         "node",
         "pool",
         "racks",
@@ -64,121 +67,129 @@
         self.deadline_ms = (
             now_ms + request.deadline_ms if has_deadline else float("inf")
         )
-        self.check_ms = now_ms + FIRST_CHECK_MS
+        self.next_check_ms = now_ms + FIRST_CHECK_MS
         self.racks: set[str] = set()
         self.is_open = True
 
     @property
     def work_ms(self) -> float:
-        """The slot time that it still asks for."""
+        """Expected slot time of the missing slots, in ms."""
         return self.missing * self.task_ms
 
     def order(self) -> float:
-        """Returns its place within its class: the least goes first."""
+        """Returns the sort key within the class; the least is served first."""
         return self.work_ms + AGEING * self.arrived_ms
 
 
 class Queue:
-    """Requests in the order in which they get slots.
+    """A priority queue of requests for slots.
 
     Attributes:
-        work_ms: the slot time waited for, by rank.
-        tasks_of: the tasks that wait, by member.
+        work_ms: expected slot time of the queued tasks by rank, in ms.
+        tasks_by_member: number of queued tasks by member.
     """
 
-    __slots__ = ("_arrivals", "_heaps", "_number", "tasks_of", "work_ms")
+    __slots__ = (
+        "_arrivals",
+        "_heaps",
+        "_push_count",
+        "tasks_by_member",
+        "work_ms",
+    )
 
     def __init__(self) -> None:
         self._heaps: dict[int, list[tuple[float, int, Waiting]]] = {}
         self._arrivals: dict[int, list[Waiting]] = {}
-        self._number = 0
+        self._push_count = 0
         self.work_ms: dict[int, float] = {}
-        self.tasks_of: dict[str, int] = {}
+        self.tasks_by_member: dict[str, int] = {}
 
     def ranks(self) -> list[int]:
-        """Returns the ranks that have work, the first first."""
+        """Returns the ranks with requests, in the order of service."""
         return sorted(rank for rank, heap in self._heaps.items() if heap)
 
     def total_ms(self, up_to_rank: int) -> float:
-        """Returns the slot time waited for at a rank and all before it."""
+        """Returns the expected slot time up to and including a rank, in ms."""
         return sum(
             work for rank, work in self.work_ms.items() if rank <= up_to_rank
         )
 
-    def add(self, waiting: Waiting) -> None:
-        """Takes a request in."""
-        self._account(waiting, waiting.missing)
-        self._note_arrival(waiting)
-        self.push_back(waiting)
+    def add(self, queued: Waiting) -> None:
+        """Adds a new request."""
+        self._add_to_totals(queued, queued.missing)
+        self._append_arrival(queued)
+        self.push_back(queued)
 
-    def _note_arrival(self, waiting: Waiting) -> None:
-        arrivals = self._arrivals.setdefault(waiting.rank, [])
-        if len(arrivals) > SPARE_ARRIVALS + 2 * len(
-            self._heaps.get(waiting.rank, ())
+    def _append_arrival(self, queued: Waiting) -> None:
+        arrivals = self._arrivals.setdefault(queued.rank, [])
+        if len(arrivals) > MIN_ARRIVALS_TO_PRUNE + 2 * len(
+            self._heaps.get(queued.rank, ())
         ):
-            arrivals[:] = [one for one in arrivals if one.is_open]
-        arrivals.append(waiting)
+            arrivals[:] = [other for other in arrivals if other.is_open]
+        arrivals.append(queued)
 
-    def push_back(self, waiting: Waiting) -> None:
-        """Puts a request that was taken out by `pop` in again."""
-        self._number += 1
-        heap = self._heaps.setdefault(waiting.rank, [])
-        heapq.heappush(heap, (waiting.order(), self._number, waiting))
+    def push_back(self, queued: Waiting) -> None:
+        """Returns a request to the queue that `pop` removed."""
+        self._push_count += 1
+        heap = self._heaps.setdefault(queued.rank, [])
+        heapq.heappush(heap, (queued.order(), self._push_count, queued))
 
     def pop(self, rank: int) -> Waiting | None:
-        """Takes out the next open request of a rank, None if none waits."""
+        """Removes and returns a rank's next open request, or None."""
         heap = self._heaps.get(rank)
         while heap:
-            _, _, waiting = heapq.heappop(heap)
-            if waiting.is_open:
-                return waiting
-        # Nothing waits any more, so nothing is to be shed, and what rounding
-        # left of the work is none.
+            _, _, queued = heapq.heappop(heap)
+            if queued.is_open:
+                return queued
+        # Nothing is queued: forget the arrivals, and clear the rounding error
+        # of the work.
         self._arrivals.pop(rank, None)
         self.work_ms[rank] = 0.0
         return None
 
-    def on_granted(self, waiting: Waiting, count: int) -> None:
-        """Counts slots granted to a request."""
-        self._account(waiting, -count)
-        waiting.missing -= count
-        waiting.granted += count
-        waiting.is_open = waiting.missing > 0
+    def on_granted(self, queued: Waiting, count: int) -> None:
+        """Records slots granted to a request."""
+        self._add_to_totals(queued, -count)
+        queued.missing -= count
+        queued.granted += count
+        queued.is_open = queued.missing > 0
 
-    def close(self, waiting: Waiting) -> None:
-        """Drops what a request still waits for."""
-        if waiting.is_open:
-            self._account(waiting, -waiting.missing)
-            waiting.is_open = False
+    def close(self, queued: Waiting) -> None:
+        """Closes a request that is refused or cancelled."""
+        if queued.is_open:
+            self._add_to_totals(queued, -queued.missing)
+            queued.is_open = False
 
     def next_to_shed(self, rank: int) -> Waiting | None:
-        """Returns the request of a rank to refuse first, None if all started.
+        """Returns the request of a rank to refuse next.
 
-        That is the one that came last: it hears of it at once, and what was
-        taken earlier stays taken.
+        That is the newest request without a granted slot, so that the
+        refusal comes early and older requests stay queued. Returns None if
+        there is no such request.
         """
         arrivals = self._arrivals.get(rank, [])
         while arrivals:
-            last = arrivals[-1]
-            if last.is_open and not last.granted:
-                return last
+            latest = arrivals[-1]
+            if latest.is_open and not latest.granted:
+                return latest
             arrivals.pop()
         return None
 
-    def ahead_ms(self, waiting: Waiting) -> float:
-        """Returns the slot time that goes before a request."""
-        own_order = waiting.order()
+    def work_ahead_ms(self, queued: Waiting) -> float:
+        """Returns the expected slot time queued ahead of a request, in ms."""
+        own_order = queued.order()
         same_rank = sum(
             other.work_ms
-            for order, _, other in self._heaps.get(waiting.rank, ())
-            if order <= own_order and other.is_open and other is not waiting
+            for order, _, other in self._heaps.get(queued.rank, ())
+            if order <= own_order and other.is_open and other is not queued
         )
-        return self.total_ms(waiting.rank - 1) + same_rank
-
-    def _account(self, waiting: Waiting, tasks: int) -> None:
-        work_ms = tasks * waiting.task_ms
-        self.work_ms[waiting.rank] = (
-            self.work_ms.get(waiting.rank, 0.0) + work_ms
+        return self.total_ms(queued.rank - 1) + same_rank
+
+    def _add_to_totals(self, queued: Waiting, tasks: int) -> None:
+        """Adds tasks to the totals, or subtracts them if negative."""
+        work_ms = tasks * queued.task_ms
+        self.work_ms[queued.rank] = self.work_ms.get(queued.rank, 0.0) + work_ms
+        member = queued.request.member
+        self.tasks_by_member[member] = (
+            self.tasks_by_member.get(member, 0) + tasks
         )
-        member = waiting.request.member
-        self.tasks_of[member] = self.tasks_of.get(member, 0) + tasks
--- a/packages/dispatch/src/clayfield/dispatch/scheduler.py
+++ b/packages/dispatch/src/clayfield/dispatch/scheduler.py
@@ -1,13 +1,14 @@
-"""Decides which request gets which slot of a hall's workers.
+"""Assigns the slots of a hall's workers to requests.
 
-One box of a hall schedules at a time: the leader of the hall's claims. Its
-state is soft. A new leader builds it from what the boxes report; a slot that
-is granted twice in between costs a refusal by the worker, never a second
-start.
+A slot is the right to run one task on a worker. One box of a hall schedules
+at a time: the leader of the hall's claims. Its state is soft: a new leader
+rebuilds it from what the boxes report. If a slot is granted twice in between,
+the worker refuses the second task, so no task starts twice.
 
-Order: strictly by class; within a class the least remaining work, with
-ageing. Slots are held back for the first class by its own load. When more
-work waits than the limit, the cheapest that has not started is refused.
+Order: strictly by priority class; within a class by least remaining work,
+with ageing. Some slots are reserved for the top class (rank 0) according to
+its load. While the queued work exceeds its limit, requests that have no slot
+yet are refused, those of the lowest-priced class first.
 """
 
 from clayfield.base import Clock, Kind
@@ -30,31 +31,33 @@
     SlotSync,
 )
 
-# A grant or request younger than this may not be in a box's report yet.
+# A grant or request younger than this may be missing from a box's report.
 SYNC_GRACE_MS = 1000.0
 MIN_RETRY_AFTER_MS = 100
-# How often a request that waits is checked for still having a worker.
-NO_WORKER_MS = 3000.0
-MOST_HELD_BACK = 0.25
-# The cheapest class may fill this much less of the queue than the dearest.
-CHEAPEST_GIVES_WAY = 0.5
+# Interval at which a queued request is checked for a suitable worker.
+WORKER_CHECK_MS = 3000.0
+# Largest share of a pool's usable slots that is reserved for the top class.
+MAX_RESERVED_SHARE = 0.25
+# Share by which the queue limit of the lowest-priced class is below that of
+# the top class.
+LOWEST_CLASS_REDUCTION = 0.5
 
 
 class Grant:
-    """A slot that is held by a box.
+    """A slot that a box holds.
 
     Attributes:
-        number: names it between scheduler and box.
-        node: the box's node.
-        worker: whose slot it is.
-        pool: the worker's pool when it was granted.
-        request: what it was granted for.
-        is_first: whether for the class that goes first.
-        since_ms: when it was granted.
+        number: number of the grant, unique over the hall's schedulers.
+        node: node of the box that holds the slot.
+        worker: name of the worker.
+        pool: the worker's pool at the time of the grant.
+        request: the request that the slot was granted for.
+        is_top_class: whether the request is of the top class.
+        since_ms: time of the grant, in ms.
     """
 
     __slots__ = (
-        "is_first",
+        "is_top_class",
         "node",
         "number",
         "pool",
@@ -70,7 +73,7 @@
         worker: str,
         pool: str,
         request: SlotRequest,
-        is_first: bool,
+        is_top_class: bool,
         since_ms: float,
     ):
         self.number = number
@@ -78,20 +81,36 @@
         self.worker = worker
         self.pool = pool
         self.request = request
-        self.is_first = is_first
+        self.is_top_class = is_top_class
         self.since_ms = since_ms
 
 
 class _Pool:
-    """What the workers of one pool and their queue are doing."""
+    """Slots and queued requests of one pool of workers.
 
-    __slots__ = ("capacity", "first_held", "free", "headroom", "held", "queue")
+    Attributes:
+        free: the workers by number of free slots.
+        queue: the requests that wait for slots.
+        headroom: estimate of the slots that the top class needs.
+        top_class_held: number of slots held for the top class.
+        held: number of slots held in all.
+        capacity: number of slots of the workers that are not leaving.
+    """
+
+    __slots__ = (
+        "capacity",
+        "free",
+        "headroom",
+        "held",
+        "queue",
+        "top_class_held",
+    )
 
     def __init__(self) -> None:
         self.free = FreeSlots()
         self.queue = Queue()
         self.headroom = Headroom()
-        self.first_held = 0
+        self.top_class_held = 0
         self.held = 0
         self.capacity = 0
 
@@ -106,14 +125,14 @@
     def __init__(
         self, clock: Clock, hall: str, first_grant: int, cfg: Configuration
     ):
-        """Starts with nothing known.
+        """Makes a scheduler without workers and requests.
 
         Args:
-            clock: the time.
-            hall: whose workers to schedule.
+            clock: source of the current time.
+            hall: the hall whose workers are scheduled.
             first_grant: number of the first grant; must be above every grant
-                of earlier schedulers.
-            cfg: the configuration in force.
+                number of earlier schedulers of the hall.
+            cfg: the active configuration.
         """
         self.outbox: list[tuple[str, Message]] = []
         self._clock = clock
@@ -124,68 +143,70 @@
         self._workers: dict[str, Worker] = {}
         self._pools: dict[str, _Pool] = {}
         self._grants: dict[int, Grant] = {}
-        self._waiting: dict[tuple[str, int], Waiting] = {}
-        self._running_of: dict[str, int] = {}
+        self._queued: dict[tuple[str, int], Waiting] = {}
+        self._held_by_member: dict[str, int] = {}
         self._estimates = Estimates()
-        self._dirty: dict[str, None] = {}
+        self._changed_pools: dict[str, None] = {}
 
     @property
     def queued_work_ms(self) -> float:
-        """The slot time that requests wait for."""
+        """Expected slot time of all queued tasks, in ms."""
         return sum(
             sum(pool.queue.work_ms.values()) for pool in self._pools.values()
         )
 
     @property
     def free_slots(self) -> int:
-        """The slots that nobody holds."""
+        """Number of free slots in all pools."""
         return sum(pool.free.total for pool in self._pools.values())
 
-    # What is known of the world.
-
     def set_config(self, cfg: Configuration) -> None:
-        """Takes the configuration in force."""
+        """Activates a configuration and sorts all queued requests by it."""
         self._cfg = cfg
         self._ranks = cfg.ranks()
         for pool in self._pools.values():
             pool.queue = Queue()
-        for waiting in list(self._waiting.values()):
-            self._requeue(waiting)
+        for queued in list(self._queued.values()):
+            self._reclassify(queued)
+
+    def _reclassify(self, queued: Waiting) -> None:
+        """Queues a request under its current class and pool.
 
-    def _requeue(self, waiting: Waiting) -> None:
-        """Files a request anew, under its class and pool of today."""
-        service = self._cfg.services.get(waiting.request.service)
-        rank = self._ranks.get(waiting.request.priority)
+        The request is refused if its service or class is not declared any
+        more.
+        """
+        service = self._cfg.services.get(queued.request.service)
+        rank = self._ranks.get(queued.request.priority)
         if service is None or rank is None:
-            del self._waiting[waiting.node, waiting.request.request]
+            del self._queued[queued.node, queued.request.request]
             self._refuse(
-                waiting.node,
-                waiting.request,
+                queued.node,
+                queued.request,
                 Kind.NOT_FOUND,
-                "Its service or class is gone.",
+                "The service or the priority class was removed.",
                 0,
             )
             return
-        waiting.rank = rank
-        waiting.pool = service.pool
-        self._pool(service.pool).queue.add(waiting)
-        self._dirty[service.pool] = None
+        queued.rank = rank
+        queued.pool = service.pool
+        self._pool(service.pool).queue.add(queued)
+        self._changed_pools[service.pool] = None
 
     def set_workers(self, infos: list[WorkerInfo]) -> None:
-        """Takes the platform list; only this hall's workers count."""
-        wanted = {i.name: i for i in infos if i.hall == self._hall}
-        for name in sorted(self._workers.keys() - wanted.keys()):
-            self._drop_worker(name)
-        for name, info in wanted.items():
+        """Replaces the workers by those of this hall in a worker list."""
+        listed = {i.name: i for i in infos if i.hall == self._hall}
+        for name in sorted(self._workers.keys() - listed.keys()):
+            self._remove_worker(name)
+        for name, info in listed.items():
             worker = self._workers.get(name)
             if worker is None:
                 worker = self._workers[name] = Worker(info)
             worker.info = info
             worker.breaker.slots = info.slots
-            self._refile(worker)
-        self._count_capacity()
+            self._update_free_slots(worker)
+        self._update_capacity()
 
-    def _count_capacity(self) -> None:
+    def _update_capacity(self) -> None:
         now_ms = self._clock.now_ms()
         for pool in self._pools.values():
             pool.capacity = 0
@@ -193,7 +214,7 @@
             if not worker.is_leaving(now_ms):
                 self._pool(worker.info.pool).capacity += worker.info.slots
 
-    def _drop_worker(self, name: str) -> None:
+    def _remove_worker(self, name: str) -> None:
         worker = self._workers.pop(name)
         self._pool(worker.info.pool).free.remove(name)
 
@@ -203,39 +224,46 @@
             pool = self._pools[name] = _Pool()
         return pool
 
-    def _refile(self, worker: Worker) -> None:
+    def _update_free_slots(self, worker: Worker) -> None:
         pool = worker.info.pool
         self._pool(pool).free.update(worker, self._clock.now_ms())
-        self._dirty[pool] = None
-
-    # Events.
+        self._changed_pools[pool] = None
 
     def on_request(self, node: str, request: SlotRequest) -> None:
-        """Takes a request, or refuses it at once."""
+        """Queues a request, or refuses it at once.
+
+        A request that is already queued is ignored.
+        """
         key = (node, request.request)
-        if key in self._waiting:
+        if key in self._queued:
             return
         service = self._cfg.services.get(request.service)
         rank = self._ranks.get(request.priority)
         if service is None or rank is None:
-            self._refuse(node, request, Kind.NOT_FOUND, "Unknown service.", 0)
+            self._refuse(
+                node,
+                request,
+                Kind.NOT_FOUND,
+                "The service or the priority class is not declared.",
+                0,
+            )
             return
-        waiting = self._make_waiting(node, request, service, rank)
+        queued = self._make_queued(node, request, service, rank)
         pool = self._pool(service.pool)
-        if self._is_first(request):
+        if self._is_top_class(request):
             pool.headroom.observe(
-                self._clock.now_ms(), request.tasks, waiting.task_ms
+                self._clock.now_ms(), request.tasks, queued.task_ms
             )
-        refusal = self._why_not(waiting, service, pool)
+        refusal = self._find_refusal(queued, service, pool)
         if refusal:
             kind, detail, retry_ms = refusal
             self._refuse(node, request, kind, detail, retry_ms)
             return
-        self._waiting[key] = waiting
-        pool.queue.add(waiting)
-        self._dirty[service.pool] = None
+        self._queued[key] = queued
+        pool.queue.add(queued)
+        self._changed_pools[service.pool] = None
 
-    def _make_waiting(
+    def _make_queued(
         self, node: str, request: SlotRequest, service: Service, rank: int
     ) -> Waiting:
         task_ms = self._estimates.mean_ms(request.service, service.expected_ms)
@@ -243,71 +271,91 @@
             node, service.pool, request, rank, task_ms, self._clock.now_ms()
         )
 
-    def _why_not(
-        self, waiting: Waiting, service: Service, pool: _Pool
+    def _find_refusal(
+        self, queued: Waiting, service: Service, pool: _Pool
     ) -> tuple[Kind, str, int] | None:
-        """Returns why a request cannot be taken, None if it can."""
+        """Returns why a request cannot be queued, or None if it can.
+
+        Returns:
+            Kind of error, detail, and ms after which to retry.
+        """
         if not self._has_worker(service):
-            return Kind.NO_WORKER, f"Pool {service.pool!r}.", 1000
-        member = self._cfg.members.get(waiting.request.member)
+            return (
+                Kind.NO_WORKER,
+                f"Pool {service.pool!r} has no suitable worker.",
+                1000,
+            )
+        member = self._cfg.members.get(queued.request.member)
         limit = member.queued_tasks if member else 0
-        queued = pool.queue.tasks_of.get(waiting.request.member, 0)
-        is_over = limit and queued + waiting.missing > limit
-        if is_over and not self._is_first(waiting.request):
-            detail = f"{queued} tasks wait, {limit} may."
-            return Kind.QUOTA, detail, self._drain_ms(pool, waiting.rank)
-        wait_ms = self._drain_ms(pool, waiting.rank - 1)
-        end_ms = self._clock.now_ms() + wait_ms + waiting.task_ms
-        if end_ms > waiting.deadline_ms:
-            return Kind.DEADLINE, f"{wait_ms} ms of work go before it.", wait_ms
+        queued_tasks = pool.queue.tasks_by_member.get(queued.request.member, 0)
+        is_over = limit and queued_tasks + queued.missing > limit
+        if is_over and not self._is_top_class(queued.request):
+            detail = f"{queued_tasks} tasks are queued; the limit is {limit}."
+            return Kind.QUOTA, detail, self._drain_ms(pool, queued.rank)
+        wait_ms = self._drain_ms(pool, queued.rank - 1)
+        end_ms = self._clock.now_ms() + wait_ms + queued.task_ms
+        if end_ms > queued.deadline_ms:
+            return (
+                Kind.DEADLINE,
+                f"The expected wait for a slot is {wait_ms} ms.",
+                wait_ms,
+            )
         return None
 
     def _has_worker(self, service: Service) -> bool:
+        """Returns whether any worker in service can run a service's tasks."""
         now_ms = self._clock.now_ms()
         return any(
             w.info.pool == service.pool
             and not w.is_leaving(now_ms)
-            and w.satisfies(*_needs(service))
+            and w.satisfies(*_requirements(service))
             for w in self._workers.values()
         )
 
     def _drain_ms(self, pool: _Pool, up_to_rank: int) -> int:
+        """Returns the ms that a pool needs for its queue up to a rank."""
         work_ms = pool.queue.total_ms(up_to_rank)
         return int(work_ms / max(1, pool.capacity))
 
     def _shed(self, pool: _Pool) -> None:
-        """Refuses unstarted work, the cheapest first, beyond the limits.
+        """Refuses requests without slots while queued work exceeds the limits.
 
-        What counts is the work that goes before a request, so a large job is
-        taken when little else waits, and does not crowd out small ones. A
-        cheaper class has a lower limit: the difference is room for dearer
-        work to come without driving out what was already taken.
+        The lowest-priced class goes first. A request is measured by the work
+        queued ahead of it, so a large job is accepted when little else is
+        queued, and it does not displace small ones. A lower-priced class has
+        a lower limit, which leaves space for later requests of higher-priced
+        classes without refusing accepted ones.
         """
         for rank in reversed(pool.queue.ranks()):
-            limit_ms = self._limit_ms(pool, rank)
+            limit_ms = self._queue_limit_ms(pool, rank)
             while pool.queue.total_ms(rank) > limit_ms:
                 victim = pool.queue.next_to_shed(rank)
-                if victim is None or pool.queue.ahead_ms(victim) <= limit_ms:
+                if (
+                    victim is None
+                    or pool.queue.work_ahead_ms(victim) <= limit_ms
+                ):
                     break
-                self._refuse_waiting(
+                self._refuse_queued(
                     victim,
                     pool,
                     Kind.QUEUE_FULL,
-                    "The work that waits exceeds limits.queue_ms.",
+                    "The queued work exceeds limits.queue_ms.",
                 )
 
-    def _limit_ms(self, pool: _Pool, rank: int) -> float:
-        """Returns the work that may go before a request of a rank."""
-        share = 1.0 - CHEAPEST_GIVES_WAY * rank / max(1, len(self._ranks) - 1)
+    def _queue_limit_ms(self, pool: _Pool, rank: int) -> float:
+        """Returns the ms of work allowed ahead of a request of a rank."""
+        share = 1.0 - LOWEST_CLASS_REDUCTION * rank / max(
+            1, len(self._ranks) - 1
+        )
         return self._cfg.limits.queue_ms * max(1, pool.capacity) * share
 
-    def _refuse_waiting(
-        self, waiting: Waiting, pool: _Pool, kind: Kind, detail: str
+    def _refuse_queued(
+        self, queued: Waiting, pool: _Pool, kind: Kind, detail: str
     ) -> None:
-        retry_ms = self._drain_ms(pool, waiting.rank)
-        pool.queue.close(waiting)
-        del self._waiting[waiting.node, waiting.request.request]
-        self._refuse(waiting.node, waiting.request, kind, detail, retry_ms)
+        retry_ms = self._drain_ms(pool, queued.rank)
+        pool.queue.close(queued)
+        del self._queued[queued.node, queued.request.request]
+        self._refuse(queued.node, queued.request, kind, detail, retry_ms)
 
     def _refuse(
         self,
@@ -326,22 +374,25 @@
         self.outbox.append((node, refusal))
 
     def on_cancel(self, node: str, cancel: SlotCancel) -> None:
-        """Forgets a request; slots already granted come back as released."""
-        waiting = self._waiting.pop((node, cancel.request), None)
-        if waiting:
-            self._pool(waiting.pool).queue.close(waiting)
+        """Removes a request from the queue.
+
+        The box releases the slots that the request already got.
+        """
+        queued = self._queued.pop((node, cancel.request), None)
+        if queued:
+            self._pool(queued.pool).queue.close(queued)
 
     def on_release(self, node: str, release: SlotRelease) -> None:
-        """Takes a slot back and learns how its worker did."""
+        """Frees a slot and records the result that its worker gave."""
         grant = self._grants.get(release.grant)
         if grant is None or grant.node != node:
             return
         worker = self._workers.get(grant.worker)
         if worker:
-            self._learn(worker, grant, release)
-        self._free(grant)
+            self._record_result(worker, grant, release)
+        self._remove_grant(grant)
 
-    def _learn(
+    def _record_result(
         self, worker: Worker, grant: Grant, release: SlotRelease
     ) -> None:
         now_ms = self._clock.now_ms()
@@ -357,194 +408,208 @@
                     )
             case r if r == RELEASE_LEAVING:
                 worker.on_said_leaving(now_ms)
-                self._count_capacity()
+                self._update_capacity()
             case r if r == RELEASE_REFUSED:
-                worker.breaker.on_failure(now_ms, is_certain=False)
+                worker.breaker.on_failure(now_ms, opens_at_once=False)
             case r if r == RELEASE_LOST:
-                worker.breaker.on_failure(now_ms, is_certain=True)
+                worker.breaker.on_failure(now_ms, opens_at_once=True)
 
-    def _free(self, grant: Grant) -> None:
+    def _remove_grant(self, grant: Grant) -> None:
         del self._grants[grant.number]
         member = grant.request.member
-        self._running_of[member] -= 1
+        self._held_by_member[member] -= 1
         pool = self._pool(grant.pool)
         pool.held -= 1
-        pool.first_held -= grant.is_first
+        pool.top_class_held -= grant.is_top_class
         worker = self._workers.get(grant.worker)
         if worker:
             worker.held -= 1
-            self._refile(worker)
+            self._update_free_slots(worker)
 
     def nodes(self) -> set[str]:
-        """Returns the boxes' nodes that hold or wait for slots."""
+        """Returns the nodes of the boxes that hold or wait for slots."""
         holders = {grant.node for grant in self._grants.values()}
-        return holders | {node for node, _ in self._waiting}
+        return holders | {node for node, _ in self._queued}
 
     def on_node_lost(self, node: str) -> None:
-        """Frees what a box held that is gone."""
+        """Frees the slots and removes the requests of a lost node."""
         for grant in [g for g in self._grants.values() if g.node == node]:
-            self._free(grant)
-        for key in [k for k in self._waiting if k[0] == node]:
+            self._remove_grant(grant)
+        for key in [k for k in self._queued if k[0] == node]:
             self.on_cancel(node, SlotCancel(key[1]))
 
     def on_sync(self, node: str, sync: SlotSync) -> None:
-        """Makes this state agree with what a box reports."""
+        """Aligns grants and queued requests with a box's report."""
         now_ms = self._clock.now_ms()
         held = {slot.grant for slot in sync.held}
         for grant in [g for g in self._grants.values() if g.node == node]:
             is_old = now_ms - grant.since_ms > SYNC_GRACE_MS
             if grant.number not in held and is_old:
-                self._free(grant)
+                self._remove_grant(grant)
         for slot in sync.held:
             if slot.grant not in self._grants:
-                self._adopt(node, slot.grant, slot.worker, slot.request)
-        wanted = {request.request for request in sync.waiting}
-        for key, waiting in list(self._waiting.items()):
-            is_old = now_ms - waiting.arrived_ms > SYNC_GRACE_MS
-            if key[0] == node and key[1] not in wanted and is_old:
+                self._restore_grant(node, slot.grant, slot.worker, slot.request)
+        reported = {request.request for request in sync.waiting}
+        for key, queued in list(self._queued.items()):
+            is_old = now_ms - queued.arrived_ms > SYNC_GRACE_MS
+            if key[0] == node and key[1] not in reported and is_old:
                 self.on_cancel(node, SlotCancel(key[1]))
         for request in sync.waiting:
             self.on_request(node, request)
 
-    def _adopt(
+    def _restore_grant(
         self, node: str, number: int, worker: str, request: SlotRequest
     ) -> None:
+        """Records a grant that an earlier scheduler made."""
         service = self._cfg.services.get(request.service)
-        self._hold(
+        self._add_grant(
             Grant(
                 number,
                 node,
                 worker,
                 service.pool if service else "",
                 request,
-                self._is_first(request),
+                self._is_top_class(request),
                 self._clock.now_ms(),
             )
         )
 
-    def _hold(self, grant: Grant) -> None:
+    def _add_grant(self, grant: Grant) -> None:
         self._grants[grant.number] = grant
         member = grant.request.member
-        self._running_of[member] = self._running_of.get(member, 0) + 1
+        self._held_by_member[member] = self._held_by_member.get(member, 0) + 1
         pool = self._pool(grant.pool)
         pool.held += 1
-        pool.first_held += grant.is_first
+        pool.top_class_held += grant.is_top_class
         worker = self._workers.get(grant.worker)
         if worker:
             worker.held += 1
-            self._refile(worker)
+            self._update_free_slots(worker)
 
     def tick(self) -> None:
-        """Lets time act: pauses end, deadlines pass, workers stay away."""
+        """Runs the periodic work.
+
+        Updates the free slots of workers whose pause or notice of leaving may
+        have ended, and refuses queued requests that cannot meet their
+        deadline or have no suitable worker.
+        """
         now_ms = self._clock.now_ms()
         for worker in self._workers.values():
             if worker.is_changing(now_ms):
-                self._refile(worker)
-        for waiting in list(self._waiting.values()):
-            pool = self._pool(waiting.pool)
-            is_late = now_ms + waiting.task_ms > waiting.deadline_ms
-            if is_late and not waiting.granted:
-                self._refuse_waiting(
-                    waiting, pool, Kind.DEADLINE, "It waited too long."
+                self._update_free_slots(worker)
+        for queued in list(self._queued.values()):
+            pool = self._pool(queued.pool)
+            is_late = now_ms + queued.task_ms > queued.deadline_ms
+            if is_late and not queued.granted:
+                self._refuse_queued(
+                    queued,
+                    pool,
+                    Kind.DEADLINE,
+                    "No slot became free in time.",
                 )
-            elif now_ms >= waiting.check_ms:
-                waiting.check_ms = now_ms + NO_WORKER_MS
-                self._refuse_if_no_worker(waiting, pool)
+            elif now_ms >= queued.next_check_ms:
+                queued.next_check_ms = now_ms + WORKER_CHECK_MS
+                self._refuse_if_no_worker(queued, pool)
 
-    def _refuse_if_no_worker(self, waiting: Waiting, pool: _Pool) -> None:
-        service = self._cfg.services[waiting.request.service]
+    def _refuse_if_no_worker(self, queued: Waiting, pool: _Pool) -> None:
+        service = self._cfg.services[queued.request.service]
         if not self._has_worker(service):
-            self._refuse_waiting(
-                waiting, pool, Kind.NO_WORKER, f"Pool {waiting.pool!r}."
+            self._refuse_queued(
+                queued,
+                pool,
+                Kind.NO_WORKER,
+                f"Pool {queued.pool!r} has no suitable worker.",
             )
 
-    # Granting.
-
     def assign(self) -> None:
-        """Grants all slots that can be granted now."""
-        while self._dirty:
-            pool = self._pool(self._dirty.popitem()[0])
+        """Grants the free slots of changed pools and sheds excess requests."""
+        while self._changed_pools:
+            pool = self._pool(self._changed_pools.popitem()[0])
             self._assign_pool(pool)
             self._shed(pool)
 
     def _assign_pool(self, pool: _Pool) -> None:
+        """Grants a pool's free slots to its queued requests in order."""
         for rank in pool.queue.ranks():
-            set_aside: list[Waiting] = []
+            incomplete: list[Waiting] = []
             while self._has_slot(pool, rank):
-                waiting = pool.queue.pop(rank)
-                if waiting is None:
+                queued = pool.queue.pop(rank)
+                if queued is None:
                     break
-                self._grant(pool, waiting)
-                if waiting.is_open:
-                    set_aside.append(waiting)
-            for waiting in set_aside:
-                pool.queue.push_back(waiting)
+                self._grant(pool, queued)
+                if queued.is_open:
+                    incomplete.append(queued)
+            for queued in incomplete:
+                pool.queue.push_back(queued)
 
     def _has_slot(self, pool: _Pool, rank: int) -> bool:
         if rank == 0:
             return pool.free.total > 0
-        return pool.free.total > self._held_back(pool)
+        return pool.free.total > self._reserved_slots(pool)
 
-    def _held_back(self, pool: _Pool) -> int:
-        """Returns the free slots that are kept for the first class.
+    def _reserved_slots(self, pool: _Pool) -> int:
+        """Returns the number of free slots reserved for the top class.
 
-        They are at most a share of the slots that are there now, so that
-        workers that return slot by slot get work to return with.
+        It is at most a share of the slots that can be used now, so that
+        workers which come back slot by slot get tasks of all classes.
         """
         target = pool.headroom.target(self._clock.now_ms())
-        most = int((pool.free.total + pool.held) * MOST_HELD_BACK)
-        return max(0, min(target - pool.first_held, most))
+        max_reserved = int((pool.free.total + pool.held) * MAX_RESERVED_SHARE)
+        return max(0, min(target - pool.top_class_held, max_reserved))
 
-    def _grant(self, pool: _Pool, waiting: Waiting) -> None:
-        service = self._cfg.services[waiting.request.service]
-        needs = _needs(service)
+    def _grant(self, pool: _Pool, queued: Waiting) -> None:
+        """Grants a request as many slots as its order and quota allow."""
+        service = self._cfg.services[queued.request.service]
+        requirements = _requirements(service)
         granted: list[tuple[int, str]] = []
-        while waiting.missing and self._has_slot(pool, waiting.rank):
-            if self._is_over_quota(waiting):
+        while queued.missing and self._has_slot(pool, queued.rank):
+            if self._is_over_quota(queued):
                 break
-            avoid = waiting.racks if service.spread_racks else None
-            worker = pool.free.choose(needs, avoid)
+            avoid_racks = queued.racks if service.spread_racks else None
+            worker = pool.free.choose(requirements, avoid_racks)
             if worker is None:
                 break
-            granted.append(self._grant_one(pool, waiting, worker))
+            granted.append(self._grant_slot(pool, queued, worker))
         if granted:
-            message = SlotGrant(waiting.request.request, granted)
-            self.outbox.append((waiting.node, message))
-        if not waiting.is_open:
-            self._waiting.pop((waiting.node, waiting.request.request), None)
+            message = SlotGrant(queued.request.request, granted)
+            self.outbox.append((queued.node, message))
+        if not queued.is_open:
+            self._queued.pop((queued.node, queued.request.request), None)
 
-    def _grant_one(
-        self, pool: _Pool, waiting: Waiting, worker: Worker
+    def _grant_slot(
+        self, pool: _Pool, queued: Waiting, worker: Worker
     ) -> tuple[int, str]:
+        """Grants one slot of a worker; returns grant number and worker."""
         number = self._next_grant
         self._next_grant += 1
-        self._hold(
+        self._add_grant(
             Grant(
                 number,
-                waiting.node,
+                queued.node,
                 worker.info.name,
-                waiting.pool,
-                waiting.request,
-                self._is_first(waiting.request),
+                queued.pool,
+                queued.request,
+                self._is_top_class(queued.request),
                 self._clock.now_ms(),
             )
         )
-        waiting.racks.add(worker.info.rack)
-        pool.queue.on_granted(waiting, 1)
+        queued.racks.add(worker.info.rack)
+        pool.queue.on_granted(queued, 1)
         return number, worker.info.name
 
-    def _is_over_quota(self, waiting: Waiting) -> bool:
-        member = self._cfg.members.get(waiting.request.member)
+    def _is_over_quota(self, queued: Waiting) -> bool:
+        member = self._cfg.members.get(queued.request.member)
         if member is None or not member.slots:
             return False
-        if self._is_first(waiting.request):
+        if self._is_top_class(queued.request):
             return False
-        running = self._running_of.get(waiting.request.member, 0)
-        return running >= member.slots
+        held = self._held_by_member.get(queued.request.member, 0)
+        return held >= member.slots
 
-    def _is_first(self, request: SlotRequest) -> bool:
+    def _is_top_class(self, request: SlotRequest) -> bool:
         return self._ranks.get(request.priority) == 0
 
 
-def _needs(service: Service) -> tuple[int, int, int]:
+def _requirements(service: Service) -> tuple[int, int, int]:
+    """Returns the cores, memory in MB and accelerators of a service."""
     return service.cores, service.memory_mb, service.accelerators
--- a/packages/dispatch/src/clayfield/dispatch/workers.py
+++ b/packages/dispatch/src/clayfield/dispatch/workers.py
@@ -1,26 +1,26 @@
-"""The workers of a pool: which slots are free, and whom to trust."""
+"""The workers of a pool, their free slots and their health."""
 
 from clayfield.dispatch.breaker import Breaker
 
-# A worker's own word that it leaves holds this long against a list that
-# still shows it live.
-SAID_LEAVING_MS = 15_000.0
+# How long a worker that reported itself as leaving gets no tasks although the
+# worker list does not show it as leaving.
+LEAVING_REPORT_MS = 15_000.0
 
 
 class WorkerInfo:
-    """What the platform list says of a worker.
+    """A worker's entry in the worker list of the platform.
 
     Attributes:
-        name: unique over all halls.
+        name: name, unique over all halls.
         address: `IP:PORT` of its endpoint.
-        hall: where it stands.
-        rack: its rack in the hall.
-        pool: which services it serves.
-        slots: tasks it runs at once.
-        cores: its processors.
-        memory_mb: its memory.
-        accelerators: how many it has.
-        is_leaving: it takes no new work.
+        hall: hall of the worker.
+        rack: rack in the hall; "" if not given.
+        pool: pool of the worker; a service names the pool that serves it.
+        slots: number of tasks that it runs at once.
+        cores: number of processors.
+        memory_mb: memory, in MB.
+        accelerators: number of accelerators.
+        is_leaving: whether it is being removed and takes no new tasks.
     """
 
     __slots__ = (
@@ -62,12 +62,12 @@
 
 
 class Worker:
-    """A worker as the scheduler sees it.
+    """The scheduler's state of a worker.
 
     Attributes:
-        info: the latest word of the platform list.
-        held: slots granted and not yet released.
-        breaker: bounds the slots after failures.
+        info: its entry in the latest worker list.
+        held: number of slots granted and not yet released.
+        breaker: circuit breaker that limits the slots after failures.
     """
 
     __slots__ = ("_leaving_until_ms", "breaker", "held", "info")
@@ -79,28 +79,31 @@
         self._leaving_until_ms = 0.0
 
     def on_said_leaving(self, now_ms: float) -> None:
-        """Learns from a refusal that it leaves; the list will follow."""
-        self._leaving_until_ms = now_ms + SAID_LEAVING_MS
+        """Records that the worker refused a task because it is leaving."""
+        self._leaving_until_ms = now_ms + LEAVING_REPORT_MS
 
     def is_leaving(self, now_ms: float) -> bool:
-        """Tells whether it leaves, by the list or by its own refusal."""
+        """Returns whether it leaves, by the list or by its own report."""
         return self.info.is_leaving or now_ms < self._leaving_until_ms
 
     def is_changing(self, now_ms: float) -> bool:
-        """Tells whether its free slots may change by time alone."""
-        has_returned = 0 < self._leaving_until_ms <= now_ms
-        if has_returned:
+        """Returns whether its free slots may have changed with time.
+
+        Clears a report of leaving that has expired.
+        """
+        has_expired = 0 < self._leaving_until_ms <= now_ms
+        if has_expired:
             self._leaving_until_ms = 0.0
-        return has_returned or not self.breaker.is_closed
+        return has_expired or not self.breaker.is_closed
 
     def free_slots(self, now_ms: float) -> int:
-        """Returns how many more tasks may start at it."""
+        """Returns the number of tasks that it can take now."""
         if self.is_leaving(now_ms):
             return 0
         return max(0, self.breaker.allowance(now_ms) - self.held)
 
     def satisfies(self, cores: int, memory_mb: int, accelerators: int) -> bool:
-        """Tells whether it has at least these resources."""
+        """Returns whether it has at least these resources."""
         info = self.info
         return (
             info.cores >= cores
@@ -110,52 +113,55 @@
 
 
 class FreeSlots:
-    """The workers of a pool by how many slots they have free.
+    """The workers of a pool by number of free slots.
 
-    A choice looks from the emptiest worker on, so load spreads evenly.
+    The worker with the most free slots is chosen, which spreads the load.
+
+    Attributes:
+        total: number of free slots of all workers.
     """
 
-    __slots__ = ("_buckets", "_free_of", "total")
+    __slots__ = ("_buckets", "_free_by_name", "total")
 
     def __init__(self) -> None:
         self._buckets: list[dict[str, Worker]] = []
-        self._free_of: dict[str, int] = {}
+        self._free_by_name: dict[str, int] = {}
         self.total = 0
 
     def update(self, worker: Worker, now_ms: float) -> None:
-        """Files a worker under its present free slots."""
+        """Adds a worker, or updates its number of free slots."""
         self.remove(worker.info.name)
         free = worker.free_slots(now_ms)
         while len(self._buckets) <= free:
             self._buckets.append({})
         self._buckets[free][worker.info.name] = worker
-        self._free_of[worker.info.name] = free
+        self._free_by_name[worker.info.name] = free
         self.total += free
 
     def remove(self, name: str) -> None:
-        """Forgets a worker."""
-        free = self._free_of.pop(name, None)
+        """Removes a worker; does nothing if it is absent."""
+        free = self._free_by_name.pop(name, None)
         if free is not None:
             del self._buckets[free][name]
             self.total -= free
 
     def choose(
         self,
-        needs: tuple[int, int, int],
+        requirements: tuple[int, int, int],
         avoid_racks: set[str] | None = None,
     ) -> Worker | None:
-        """Returns the emptiest worker that satisfies the needs, or None.
+        """Returns the suitable worker with the most free slots, or None.
 
         Args:
-            needs: cores, memory in MB and accelerators.
-            avoid_racks: racks to take only when no other has a free slot.
+            requirements: cores, memory in MB and accelerators.
+            avoid_racks: racks to use only if no other has a free slot.
         """
-        second_best = None
+        fallback = None
         for bucket in reversed(self._buckets[1:]):
             for worker in bucket.values():
-                if not worker.satisfies(*needs):
+                if not worker.satisfies(*requirements):
                     continue
                 if not avoid_racks or worker.info.rack not in avoid_racks:
                     return worker
-                second_best = second_best or worker
-        return second_best
+                fallback = fallback or worker
+        return fallback
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler's decisions, case by case."""
+"""Tests of the scheduler with a manual clock."""
 
 import pytest
 
@@ -11,7 +11,7 @@
     Service,
 )
 from clayfield.dispatch import Scheduler, WorkerInfo
-from clayfield.dispatch.breaker import FIRST_PAUSE_MS
+from clayfield.dispatch.breaker import INITIAL_PAUSE_MS
 from clayfield.wire.messages import (
     RELEASE_DONE,
     RELEASE_LEAVING,
@@ -52,8 +52,8 @@
 ]
 
 
-class Bench:
-    """A scheduler, and what it said."""
+class SchedulerHarness:
+    """A scheduler with the grants and refusals that it sent."""
 
     def __init__(self, workers=WORKERS, cfg=CFG):
         self.clock = ManualClock()
@@ -62,7 +62,7 @@
         self.granted = {}
         self.refused = {}
 
-    def ask(
+    def request(
         self,
         number,
         priority="dear",
@@ -77,7 +77,7 @@
         )
         self.scheduler.on_request(node, request)
 
-    def settle(self):
+    def assign(self):
         self.scheduler.assign()
         for _, message in self.scheduler.outbox:
             if isinstance(message, SlotGrant):
@@ -87,18 +87,18 @@
                 self.refused[message.request] = Kind.from_code(message.code)
         self.scheduler.outbox.clear()
 
-    def give_back(self, number, result=RELEASE_DONE, took_ms=100.0):
+    def release(self, number, result=RELEASE_DONE, took_ms=100.0):
         grant, worker = self.granted[number].pop()
         release = SlotRelease(grant, worker, result, took_ms)
         self.scheduler.on_release("a/1", release)
-        self.settle()
+        self.assign()
 
-    def order_of(self, numbers):
-        """Returns in which order requests get the slot of `first`."""
+    def grant_order(self, numbers):
+        """Releases held slots one by one; returns the order of the grants."""
         order = []
         for _ in numbers:
             holder = next(n for n in self.granted if self.granted[n])
-            self.give_back(holder)
+            self.release(holder)
             order += [
                 n for n in numbers if n in self.granted and n not in order
             ]
@@ -113,30 +113,30 @@
         ([("cheap", 1), ("dear", 3)], [2, 1]),
     ],
 )
-def test_order_is_by_class_then_by_remaining_work(requests, order):
-    bench = Bench(WORKERS[:1])
-    bench.ask(0)
-    bench.settle()
+def test_requests_are_served_by_class_then_by_remaining_work(requests, order):
+    harness = SchedulerHarness(WORKERS[:1])
+    harness.request(0)
+    harness.assign()
     for number, (priority, tasks) in enumerate(requests, 1):
-        bench.ask(number, priority, tasks)
-    bench.settle()
-    assert list(bench.granted) == [0]
-    assert bench.order_of(order)[: len(order)][0] == order[0]
+        harness.request(number, priority, tasks)
+    harness.assign()
+    assert list(harness.granted) == [0]
+    assert harness.grant_order(order)[: len(order)][0] == order[0]
 
 
-def test_waiting_makes_a_large_job_go_first_in_the_end():
-    bench = Bench(WORKERS[:1])
-    bench.ask(0)
-    bench.settle()
-    bench.ask(1, tasks=4)
-    bench.clock.advance(4000.0)
-    bench.ask(2, tasks=1)
-    bench.give_back(0)
-    assert bench.granted[1]
+def test_old_large_job_is_served_before_a_new_small_job():
+    harness = SchedulerHarness(WORKERS[:1])
+    harness.request(0)
+    harness.assign()
+    harness.request(1, tasks=4)
+    harness.clock.advance(4000.0)
+    harness.request(2, tasks=1)
+    harness.release(0)
+    assert harness.granted[1]
 
 
 @pytest.mark.parametrize(
-    ("asked", "kind"),
+    ("fields", "kind"),
     [
         ({"service": "none"}, Kind.NO_WORKER),
         ({"service": "gone"}, Kind.NOT_FOUND),
@@ -145,49 +145,51 @@
         ({"deadline_ms": 50.0}, Kind.DEADLINE),
     ],
 )
-def test_what_cannot_be_served_is_refused_at_once(asked, kind):
-    bench = Bench()
-    bench.ask(1, **asked)
-    bench.settle()
-    assert bench.refused == {1: kind}
+def test_request_that_cannot_be_served_is_refused_at_once(fields, kind):
+    harness = SchedulerHarness()
+    harness.request(1, **fields)
+    harness.assign()
+    assert harness.refused == {1: kind}
 
 
-def test_the_cheapest_that_came_last_is_refused_first():
-    bench = Bench(WORKERS[:1])
-    bench.ask(0)
-    bench.settle()
+def test_newest_requests_of_lowest_priced_class_are_refused_first():
+    harness = SchedulerHarness(WORKERS[:1])
+    harness.request(0)
+    harness.assign()
     for number in range(1, 9):
-        bench.ask(number, "cheap", tasks=1)
-    bench.settle()
-    assert set(bench.refused) <= set(range(1, 9))
-    assert bench.refused
-    kept = set(range(1, 9)) - set(bench.refused)
-    assert max(kept) < min(bench.refused)
-    before = set(bench.refused)
+        harness.request(number, "cheap", tasks=1)
+    harness.assign()
+    assert set(harness.refused) <= set(range(1, 9))
+    assert harness.refused
+    retained = set(range(1, 9)) - set(harness.refused)
+    assert max(retained) < min(harness.refused)
+    before = set(harness.refused)
     for number in range(10, 30):
-        bench.ask(number, "dear", tasks=1)
-    bench.settle()
-    dear = [n for n in bench.refused if n >= 10]
-    assert kept <= set(bench.refused), "dear work refused before cheap"
+        harness.request(number, "dear", tasks=1)
+    harness.assign()
+    dear = [n for n in harness.refused if n >= 10]
+    assert retained <= set(harness.refused), (
+        "a dear request was refused before a cheap one"
+    )
     assert dear
-    assert set(bench.refused.values()) == {Kind.QUEUE_FULL}
-    assert before <= set(bench.refused)
-    bench.ask(99, "cancel")
-    bench.settle()
-    assert 99 not in bench.refused
-
-
-def test_quota_makes_a_member_wait_but_never_its_first_class():
-    bench = Bench()
-    bench.ask(1, member="small", tasks=2)
-    bench.settle()
-    bench.ask(2, "cancel", member="small")
-    bench.settle()
-    assert len(bench.granted[1]) == 1
-    assert len(bench.granted[2]) == 1
-    bench.give_back(2)
-    bench.give_back(1)
-    assert len(bench.granted[1]) == 1
+    assert set(harness.refused.values()) == {Kind.QUEUE_FULL}
+    assert before <= set(harness.refused)
+    harness.request(99, "cancel")
+    harness.assign()
+    assert 99 not in harness.refused
+
+
+def test_slot_quota_delays_a_member_except_in_the_top_class():
+    harness = SchedulerHarness()
+    harness.request(1, member="small", tasks=2)
+    harness.assign()
+    harness.request(2, "cancel", member="small")
+    harness.assign()
+    assert len(harness.granted[1]) == 1
+    assert len(harness.granted[2]) == 1
+    harness.release(2)
+    harness.release(1)
+    assert len(harness.granted[1]) == 1
 
 
 @pytest.mark.parametrize(
@@ -198,11 +200,11 @@
         ("work", 4, ["w0", "w1", "w2"]),
     ],
 )
-def test_a_service_gets_workers_that_suit_it(service, tasks, workers):
-    bench = Bench()
-    bench.ask(1, service=service, tasks=tasks)
-    bench.settle()
-    names = sorted(worker for _, worker in bench.granted[1])
+def test_service_is_granted_only_suitable_workers(service, tasks, workers):
+    harness = SchedulerHarness()
+    harness.request(1, service=service, tasks=tasks)
+    harness.assign()
+    names = sorted(worker for _, worker in harness.granted[1])
     racks = {w.name: w.rack for w in WORKERS}
     if service == "spread":
         assert {racks[name] for name in names} == {"r0", "r1"}
@@ -220,68 +222,70 @@
         (RELEASE_LEAVING, 1, True),
     ],
 )
-def test_a_worker_that_fails_is_paused(result, failures, is_paused):
-    bench = Bench(WORKERS[:1])
+def test_failing_worker_gets_no_tasks_during_a_pause(
+    result, failures, is_paused
+):
+    harness = SchedulerHarness(WORKERS[:1])
     for number in range(failures):
-        bench.ask(number)
-        bench.settle()
-        bench.give_back(number, result)
-    bench.ask(50)
-    bench.settle()
-    assert (50 not in bench.granted) == is_paused
+        harness.request(number)
+        harness.assign()
+        harness.release(number, result)
+    harness.request(50)
+    harness.assign()
+    assert (50 not in harness.granted) == is_paused
     if is_paused and result != RELEASE_LEAVING:
-        bench.clock.advance(FIRST_PAUSE_MS + 1)
-        bench.scheduler.tick()
-        bench.settle()
-        assert bench.granted[50]
+        harness.clock.advance(INITIAL_PAUSE_MS + 1)
+        harness.scheduler.tick()
+        harness.assign()
+        assert harness.granted[50]
 
 
-def test_a_leaving_worker_gets_nothing_new():
-    bench = Bench()
+def test_leaving_worker_gets_no_tasks():
+    harness = SchedulerHarness()
     leaving = [
         WorkerInfo(w.name, "", "h", w.rack, slots=1, is_leaving=w.name != "w1")
         for w in WORKERS[:3]
     ]
-    bench.scheduler.set_workers(leaving)
-    bench.ask(1, tasks=3)
-    bench.settle()
-    assert [worker for _, worker in bench.granted[1]] == ["w1"]
-
-
-def test_what_a_lost_box_held_is_granted_again():
-    bench = Bench(WORKERS[:1])
-    bench.ask(1, node="b/1")
-    bench.ask(2)
-    bench.settle()
-    assert 2 not in bench.granted
-    bench.scheduler.on_node_lost("b/1")
-    bench.settle()
-    assert bench.granted[2]
-
-
-def test_reports_correct_what_messages_lost():
-    bench = Bench(WORKERS[:2])
-    bench.ask(1, tasks=2)
-    bench.settle()
-    bench.ask(2)
-    bench.settle()
-    kept = bench.granted[1][0]
+    harness.scheduler.set_workers(leaving)
+    harness.request(1, tasks=3)
+    harness.assign()
+    assert [worker for _, worker in harness.granted[1]] == ["w1"]
+
+
+def test_slots_of_a_lost_box_are_granted_again():
+    harness = SchedulerHarness(WORKERS[:1])
+    harness.request(1, node="b/1")
+    harness.request(2)
+    harness.assign()
+    assert 2 not in harness.granted
+    harness.scheduler.on_node_lost("b/1")
+    harness.assign()
+    assert harness.granted[2]
+
+
+def test_report_of_a_box_replaces_lost_messages():
+    harness = SchedulerHarness(WORKERS[:2])
+    harness.request(1, tasks=2)
+    harness.assign()
+    harness.request(2)
+    harness.assign()
+    retained = harness.granted[1][0]
     request = SlotRequest(1, "m", "work", "dear", 1, 0.0)
-    bench.clock.advance(2000.0)
-    report = SlotSync([HeldSlot(*kept, request)], [])
-    bench.scheduler.on_sync("a/1", report)
-    bench.settle()
-    assert 2 not in bench.granted, "no longer wanted by the report"
-    bench.ask(3)
-    bench.settle()
-    assert bench.granted[3][0][1] == bench.granted[1][1][1]
-
-
-def test_a_cancelled_request_gets_nothing():
-    bench = Bench(WORKERS[:1])
-    bench.ask(0)
-    bench.ask(1)
-    bench.settle()
-    bench.scheduler.on_cancel("a/1", SlotCancel(1))
-    bench.give_back(0)
-    assert 1 not in bench.granted
+    harness.clock.advance(2000.0)
+    report = SlotSync([HeldSlot(*retained, request)], [])
+    harness.scheduler.on_sync("a/1", report)
+    harness.assign()
+    assert 2 not in harness.granted, "request 2 is missing from the report"
+    harness.request(3)
+    harness.assign()
+    assert harness.granted[3][0][1] == harness.granted[1][1][1]
+
+
+def test_cancelled_request_gets_no_slot():
+    harness = SchedulerHarness(WORKERS[:1])
+    harness.request(0)
+    harness.request(1)
+    harness.assign()
+    harness.scheduler.on_cancel("a/1", SlotCancel(1))
+    harness.release(0)
+    assert 1 not in harness.granted
