--- a/packages/dispatch/src/clayfield/dispatch/entry.py
+++ b/packages/dispatch/src/clayfield/dispatch/entry.py
@@ -1,9 +1,11 @@
-"""Takes submissions, starts their tasks on granted slots, answers whole.
-
-A task starts only when two things hold: the submission's claim is recorded by
-a majority of its home hall, and the scheduler granted a slot. A start that
-may have reached a worker is never repeated unless the service allows it and
-the submission is repeatable; the job fails as *may have run* instead.
+"""Manages the submissions of one box from acceptance to final answer.
+
+A task starts only when the submission's claim is recorded by a majority of
+its home hall and the scheduler has granted a slot. A claim is the registry's
+record that a box runs an idempotency key; the home hall is the hall whose
+registry holds it. A task that a worker may have started is started again only
+if the service allows it and the submission is repeatable; otherwise the job
+fails, and its problem reports that it may have run.
 """
 
 import hashlib
@@ -59,19 +61,20 @@
 
 CLAIM_RESEND_MS = 300.0
 CLAIM_TIMEOUT_MS = 3000.0
-FOLLOW_MS = 500.0
+# Interval and limit of asking for a submission that another box runs.
+FOLLOW_POLL_MS = 500.0
 FOLLOW_TIMEOUT_MS = 1500.0
 RETRY_AFTER_MS = 1000
 MAX_ATTEMPTS = 8
-MIN_STOP_RETRY_MS = 100
+STOPPING_RETRY_AFTER_MS = 100
 DIGEST_BYTES = 16
 
 
-# Of these the registry itself says that this body did not run.
-NEVER_RUN = (Kind.KEY_REUSED,)
+# Errors by which the registry confirms that this request did not run.
+NOT_RUN_KINDS = (Kind.KEY_REUSED,)
 
 
-class _Held:
+class _HeldGrant:
     """A slot that this box holds."""
 
     __slots__ = ("since_ms", "submission", "worker")
@@ -86,18 +89,18 @@
     """The submissions of one box.
 
     Attributes:
-        actions: what is to be done; the caller empties it.
-        counters: what happened so far.
-        is_stopping: takes no new submissions.
+        actions: the actions to run; the caller empties the list.
+        counters: counts since the box started.
+        is_stopping: whether new submissions are rejected.
     """
 
     def __init__(self, clock: Clock, node: str, cfg: Configuration):
-        """Starts without submissions.
+        """Makes a manager without submissions.
 
         Args:
-            clock: the time.
+            clock: source of the current time.
             node: this box's node, the owner of its claims.
-            cfg: the configuration in force.
+            cfg: the active configuration.
         """
         self.actions: list[Action] = []
         self.counters = Counters()
@@ -107,75 +110,76 @@
         self._cfg = cfg
         self._by_key: dict[str, Submission] = {}
         self._by_number: dict[int, Submission] = {}
-        self._held: dict[int, _Held] = {}
+        self._held: dict[int, _HeldGrant] = {}
         self._next_number = 1
-        self._leaving: set[str] = set()
-        self._settlements = Settlements()
+        self._leaving_workers: set[str] = set()
+        self._pending_completions = Settlements()
         self._lookups = Lookups(node)
         self._budget = RetryBudget(cfg.limits.retry_share)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is open, runs or waits to be confirmed."""
-        return not (self._by_number or self._held or len(self._settlements))
+        """Whether no submission, held slot or unconfirmed claim end exists."""
+        return not (
+            self._by_number or self._held or len(self._pending_completions)
+        )
 
     @property
     def open_count(self) -> int:
-        """How many submissions are not done."""
+        """Number of submissions that are not done."""
         return len(self._by_number)
 
     @property
     def held_count(self) -> int:
-        """How many slots this box holds."""
+        """Number of slots that this box holds."""
         return len(self._held)
 
     def set_config(self, cfg: Configuration) -> None:
-        """Takes the configuration in force."""
+        """Activates a configuration."""
         self._cfg = cfg
         self._budget.share = cfg.limits.retry_share
 
     def set_workers(self, infos: list[WorkerInfo]) -> None:
-        """Takes the platform list.
+        """Updates the set of leaving workers from the worker list.
 
-        A slot may have been granted before its worker began to leave, and
-        only now come to be used.
+        It is needed for slots that were granted before their worker began to
+        leave and are used only afterwards.
         """
-        self._leaving = {info.name for info in infos if info.is_leaving}
-
-    # Submissions.
+        self._leaving_workers = {info.name for info in infos if info.is_leaving}
 
     def submit(
         self, key: str, req: JobRequest, waiter: object
     ) -> Submission | None:
-        """Takes a submission; its waiter gets one answer.
+        """Accepts a job, or joins the submission that has its key.
 
         Args:
             key: the caller's key with its member.
-            req: what is asked.
-            waiter: given back with the answer.
+            req: the job.
+            waiter: identifies the caller; passed back with its one answer.
 
         Returns:
-            The submission, None when it was answered at once.
+            The submission, or None if the caller was answered at once.
         """
         digest = hashlib.blake2b(req.body, digest_size=DIGEST_BYTES).digest()
-        known = self._by_key.get(key)
-        if known:
-            self._join(known, digest, waiter)
-            return known
-        ended = self._settlements.outcome_of(key)
-        if ended:
-            self._answer_ended(ended, digest, waiter)
+        existing = self._by_key.get(key)
+        if existing:
+            self._add_waiter(existing, digest, waiter)
+            return existing
+        completed = self._pending_completions.outcome_of(key)
+        if completed:
+            self._answer_completed(completed, digest, waiter)
             return None
         if self.is_stopping:
             ran = Ran.NO if req.is_first else Ran.MAYBE
-            problem = Problem(Kind.STOPPING, "", ran, MIN_STOP_RETRY_MS)
+            problem = Problem(Kind.STOPPING, "", ran, STOPPING_RETRY_AFTER_MS)
             self.actions.append(Answer(waiter, render_problem(problem)))
             return None
-        return self._open(key, digest, req, waiter)
+        return self._open_submission(key, digest, req, waiter)
 
-    def _open(
+    def _open_submission(
         self, key: str, digest: bytes, req: JobRequest, waiter: object
     ) -> Submission:
+        """Claims the key and requests slots, both at once."""
         number = self._next_number
         self._next_number += 1
         sub = Submission(number, key, digest, req, self._clock.now_ms())
@@ -192,7 +196,9 @@
             sub.refusal = req.refusal
         return sub
 
-    def _join(self, sub: Submission, digest: bytes, waiter: object) -> None:
+    def _add_waiter(
+        self, sub: Submission, digest: bytes, waiter: object
+    ) -> None:
         self.counters.resubmitted += 1
         if sub.digest != digest:
             problem = Problem(Kind.KEY_REUSED)
@@ -200,30 +206,36 @@
         else:
             sub.waiters.append(waiter)
 
-    def _answer_ended(
-        self, ended: tuple[bytes, Outcome], digest: bytes, waiter: object
+    def _answer_completed(
+        self, completed: tuple[bytes, Outcome], digest: bytes, waiter: object
     ) -> None:
         self.counters.resubmitted += 1
-        known_digest, outcome = ended
-        if known_digest != digest:
+        completed_digest, outcome = completed
+        if completed_digest != digest:
             outcome = render_problem(Problem(Kind.KEY_REUSED))
         self.actions.append(Answer(waiter, outcome))
 
     def holder_of(self, grant: int) -> Submission | None:
-        """Returns the submission that a slot is held for, even a done one."""
+        """Returns the submission of a held slot, or None.
+
+        The submission may already be done.
+
+        Args:
+            grant: number of the grant.
+        """
         held = self._held.get(grant)
         return held.submission if held else None
 
     def look_up(self, key: str, waiter: object) -> None:
-        """Asks for the state or the answer of a key.
+        """Requests the state or the answer of a key for a caller.
 
         Args:
-            key: a member's key.
-            waiter: given back with the answer.
+            key: the caller's key with its member.
+            waiter: identifies the caller; passed back with the answer.
         """
-        ended = self._settlements.outcome_of(key)
-        if ended:
-            self.actions.append(Answer(waiter, ended[1]))
+        completed = self._pending_completions.outcome_of(key)
+        if completed:
+            self.actions.append(Answer(waiter, completed[1]))
         elif key in self._by_key:
             self.actions.append(Tell(waiter, RUNNING))
         else:
@@ -231,54 +243,52 @@
             self.actions.append(ToRegistry(lookup))
 
     def drop_waiter(self, key: str, waiter: object) -> None:
-        """Learns that a caller hung up; its submission goes on."""
+        """Removes a disconnected caller; its submission continues."""
         sub = self._by_key.get(key)
         if sub and waiter in sub.waiters:
             sub.waiters.remove(waiter)
 
-    # Claims.
-
     def _send_claim(self, sub: Submission) -> None:
-        sub.asked_ms = self._clock.now_ms()
+        sub.claim_sent_ms = self._clock.now_ms()
         sub.may_be_claimed = True
         claim = Claim(sub.key, sub.digest, self._node, sub.number)
         self.actions.append(ToRegistry(claim))
 
     def resend_claims(self) -> None:
-        """Sends open claims again, as a new leader may not have them."""
+        """Sends unanswered claims again; a new leader may not have them."""
         for sub in self._by_number.values():
             if sub.phase is Phase.OPEN and not sub.is_claimed:
                 self._send_claim(sub)
 
     def on_claim_reply(self, reply: ClaimReply) -> None:
-        """Takes the registry's word on a claim."""
+        """Handles the registry's reply to a claim, claim end or lookup."""
         if reply.verdict == CLAIM_SETTLED:
-            self._settlements.on_settled(reply.key, reply.nonce)
+            self._pending_completions.on_settled(reply.key, reply.nonce)
             return
-        told = self._lookups.on_reply(reply)
-        if told:
-            self.actions.append(told)
+        action = self._lookups.on_reply(reply)
+        if action:
+            self.actions.append(action)
             return
         sub = self._by_number.get(reply.nonce)
         if sub is None or sub.key != reply.key:
             if reply.verdict == CLAIM_GRANTED:
-                self._disclaim(reply.key, reply.nonce)
+                self._release_claim(reply.key, reply.nonce)
             return
         sub.may_be_claimed = reply.verdict == CLAIM_GRANTED
         match reply.verdict:
             case v if v == CLAIM_GRANTED:
                 self._on_claimed(sub)
             case v if v == CLAIM_OWNED and reply.owner != self._node:
-                self._follow(sub, reply)
+                self._follow_owner(sub, reply)
             case v if v == CLAIM_OWNED:
-                self._disclaim(reply.key, reply.owner_nonce)
+                self._release_claim(reply.key, reply.owner_nonce)
             case v if v == CLAIM_REUSED:
                 self._fail(sub, Problem(Kind.KEY_REUSED))
             case v if v == CLAIM_DONE:
-                self._withdraw(sub)
+                self._release_unused(sub)
                 self._finish(sub, reply.outcome)
             case v if v == CLAIM_LOST:
-                detail = "Its hall lost all claims of earlier times."
+                detail = "The home hall lost its earlier claims."
                 self._fail(sub, Problem(Kind.CLAIMS_LOST, detail, Ran.MAYBE))
             case v if v == CLAIM_UNAVAILABLE:
                 self._fail(
@@ -293,34 +303,39 @@
         if sub.refusal:
             self._refuse(sub, sub.refusal)
             return
-        if not sub.is_placed:
+        if not sub.has_slot_request:
             self._send_request(sub)
         self._start_granted(sub)
 
-    def _disclaim(self, key: str, nonce: int) -> None:
-        """Lets go of a claim under a number that is open here no more.
+    def _release_claim(self, key: str, nonce: int) -> None:
+        """Releases a claim whose submission is no longer open here.
 
-        Such a claim was given up before it was granted, so nothing of it
-        started. One that ended otherwise is in the settlements.
+        The submission was dropped before the claim was granted, so none of
+        its tasks started. Claims that ended in another way are among the
+        unconfirmed ones and are skipped.
         """
         is_open = nonce in self._by_number
-        if not is_open and not self._settlements.is_pending(key, nonce):
-            self._settle(Unclaim(key, self._node, nonce), b"")
+        if not is_open and not self._pending_completions.is_pending(key, nonce):
+            self._send_claim_end(Unclaim(key, self._node, nonce), b"")
 
-    def _follow(self, sub: Submission, reply: ClaimReply) -> None:
-        if sub.started or sub.is_claimed:
+    def _follow_owner(self, sub: Submission, reply: ClaimReply) -> None:
+        """Requests the answer from the box that owns the claim."""
+        if sub.start_count or sub.is_claimed:
             return
         now_ms = self._clock.now_ms()
         if sub.phase is not Phase.FOLLOWING:
-            self._withdraw(sub)
+            self._release_unused(sub)
             sub.phase = Phase.FOLLOWING
-            sub.heard_ms = now_ms
-        sub.asked_ms = now_ms
+            sub.owner_heard_ms = now_ms
+        sub.claim_sent_ms = now_ms
         fetch = AnswerFetch(sub.key, reply.owner_nonce)
         self.actions.append(ToNode(reply.owner, fetch))
 
     def on_answer_fetch(self, node: str, fetch: AnswerFetch) -> None:
-        """Lets another box wait for a submission that is open here."""
+        """Handles another box's request for the answer of a claim.
+
+        The box gets the answer later if the submission is open here.
+        """
         sub = self._by_number.get(fetch.nonce)
         if sub and sub.key == fetch.key and sub.phase is Phase.OPEN:
             waiter = RemoteWaiter(node, fetch.key)
@@ -328,43 +343,43 @@
                 sub.waiters.append(waiter)
             reply = AnswerReply(fetch.key, None, is_pending=True)
         else:
-            ended = self._settlements.outcome_of(fetch.key)
-            reply = AnswerReply(fetch.key, ended[1] if ended else None)
-            self._disclaim(fetch.key, fetch.nonce)
+            completed = self._pending_completions.outcome_of(fetch.key)
+            reply = AnswerReply(fetch.key, completed[1] if completed else None)
+            self._release_claim(fetch.key, fetch.nonce)
         self.actions.append(ToNode(node, reply))
 
     def on_answer_reply(self, reply: AnswerReply) -> None:
-        """Takes word of a submission that another box runs."""
+        """Handles the owner's reply for a submission that it runs."""
         sub = self._by_key.get(reply.key)
         if sub is None or sub.phase is not Phase.FOLLOWING:
             return
         if reply.is_pending:
-            sub.heard_ms = self._clock.now_ms()
+            sub.owner_heard_ms = self._clock.now_ms()
         if reply.outcome and is_final(reply.outcome):
             self._finish(sub, reply.outcome)
 
-    # Slots.
-
     def _send_request(self, sub: Submission) -> None:
-        sub.is_placed = True
-        self.actions.append(ToScheduler(self._request_of(sub)))
+        sub.has_slot_request = True
+        self.actions.append(ToScheduler(self._make_slot_request(sub)))
 
-    def _request_of(self, sub: Submission) -> SlotRequest:
+    def _make_slot_request(self, sub: Submission) -> SlotRequest:
         now_ms = self._clock.now_ms()
         has_deadline = sub.deadline_ms != float("inf")
-        left_ms = max(1.0, sub.deadline_ms - now_ms) if has_deadline else 0.0
+        remaining_ms = (
+            max(1.0, sub.deadline_ms - now_ms) if has_deadline else 0.0
+        )
         return SlotRequest(
             sub.number,
             sub.member,
             sub.service,
             sub.priority,
-            sub.wanted_slots,
-            left_ms,
+            sub.missing_slots,
+            remaining_ms,
             now_ms - sub.arrived_ms,
         )
 
     def on_grant(self, grant: SlotGrant) -> None:
-        """Takes slots; those not wanted any more go back unused."""
+        """Uses granted slots, and releases those no longer needed."""
         sub = self._by_number.get(grant.request)
         now_ms = self._clock.now_ms()
         if sub and not sub.granted_ms:
@@ -372,32 +387,36 @@
         for number, worker in grant.grants:
             if number in self._held:
                 continue
-            is_wanted = (
+            is_needed = (
                 sub is not None
                 and sub.phase is Phase.OPEN
-                and sub.wanted_slots > 0
+                and sub.missing_slots > 0
             )
-            if not is_wanted:
+            if not is_needed:
                 self._release(number, worker, RELEASE_UNUSED, 0.0)
                 continue
-            self._held[number] = _Held(worker, sub, now_ms)
-            sub.granted.append((number, worker))
+            self._held[number] = _HeldGrant(worker, sub, now_ms)
+            sub.unused_grants.append((number, worker))
         if sub:
             self._start_granted(sub)
 
     def on_refuse(self, refuse: SlotRefuse) -> None:
-        """Takes a refusal: the whole job fails, or fails to go on."""
+        """Handles the scheduler's refusal: the job fails.
+
+        A job that is neither claimed nor a first attempt fails only once the
+        registry has replied.
+        """
         sub = self._by_number.get(refuse.request)
-        if sub is None or sub.phase is not Phase.OPEN or not sub.wanted_slots:
+        if sub is None or sub.phase is not Phase.OPEN or not sub.missing_slots:
             return
         kind = Kind.from_code(refuse.code)
         problem = Problem(kind, refuse.detail, Ran.NO, refuse.retry_after_ms)
-        sub.is_placed = False
+        sub.has_slot_request = False
         if sub.is_claimed or sub.is_first:
             self._refuse(sub, problem)
         else:
-            # Another box may run this key: only the claim's answer allows
-            # saying that nothing ran.
+            # Another box may run this key; whether it did is known only from
+            # the registry's reply.
             sub.refusal = problem
 
     def _refuse(self, sub: Submission, problem: Problem) -> None:
@@ -405,31 +424,32 @@
         self._fail(sub, problem)
 
     def _start_granted(self, sub: Submission) -> None:
+        """Starts a claimed submission's tasks on its unused grants."""
         if not sub.is_claimed or sub.phase is not Phase.OPEN:
             return
-        has_barred = False
-        while sub.granted and sub.to_start:
-            number, worker = sub.granted.pop()
-            if worker in self._leaving:
-                has_barred = True
+        has_leaving = False
+        while sub.unused_grants and sub.unstarted_tasks:
+            number, worker = sub.unused_grants.pop()
+            if worker in self._leaving_workers:
+                has_leaving = True
                 self._release(number, worker, RELEASE_UNUSED, 0.0)
             else:
-                self._start(sub, number, worker, sub.to_start.pop())
-        if has_barred:
+                self._start_task(sub, number, worker, sub.unstarted_tasks.pop())
+        if has_leaving:
             self._cancel_request(sub)
             self._send_request(sub)
 
-    def _start(
+    def _start_task(
         self, sub: Submission, number: int, worker: str, task: int
     ) -> None:
         sub.running[number] = task
         sub.attempts[task] += 1
-        sub.started += 1
+        sub.start_count += 1
         self.counters.starts += 1
         if sub.attempts[task] == 1:
             self._budget.on_first()
         service = self._cfg.services.get(sub.service, Service())
-        left_ms = sub.deadline_ms - self._clock.now_ms()
+        remaining_ms = sub.deadline_ms - self._clock.now_ms()
         self.actions.append(
             StartTask(
                 number,
@@ -438,7 +458,7 @@
                 task,
                 sub.attempts[task],
                 sub.priority,
-                max(1.0, min(service.timeout_ms, left_ms)),
+                max(1.0, min(service.timeout_ms, remaining_ms)),
                 sub.tasks[task],
                 sub.traceparent,
             )
@@ -447,13 +467,13 @@
     def on_task_end(
         self, grant: int, end: TaskEnd, answer: bytes, took_ms: float
     ) -> None:
-        """Takes the end of a start.
+        """Handles the outcome of one attempt to run a task.
 
         Args:
-            grant: the slot's number.
-            end: how it ended.
-            answer: the worker's answer, or what to tell of the failure.
-            took_ms: time from start to end.
+            grant: number of the slot's grant.
+            end: the outcome.
+            answer: the worker's answer, or a description of the failure.
+            took_ms: time from start to end, in ms.
         """
         held = self._held.get(grant)
         if held is None or grant not in held.submission.running:
@@ -461,7 +481,7 @@
             return
         sub = held.submission
         task = sub.running.pop(grant)
-        self._release(grant, held.worker, end.release, took_ms)
+        self._release(grant, held.worker, end.release_result, took_ms)
         if end is not TaskEnd.ANSWERED:
             self.counters.wasted += 1
         if sub.phase is Phase.DONE:
@@ -480,35 +500,36 @@
             self._retry_or_fail(sub, task, end)
 
     def _retry_or_fail(self, sub: Submission, task: int, end: TaskEnd) -> None:
-        if not end.is_started:
-            sub.started -= 1
+        if not end.may_have_started:
+            sub.start_count -= 1
         if self._may_retry(sub, task, end):
             self.counters.retries += 1
-            sub.to_start.append(task)
+            sub.unstarted_tasks.append(task)
             self._cancel_request(sub)
             self._send_request(sub)
             return
-        detail = f"Task {task} ended as {end.text}."
-        if end.is_started:
+        detail = f"The last attempt at task {task} ended as {end.text}."
+        if end.may_have_started:
             problem = Problem(Kind.TASK_LOST, detail)
         else:
             problem = Problem(Kind.NO_WORKER, detail, Ran.NO, RETRY_AFTER_MS)
         self._fail(sub, problem)
 
     def _may_retry(self, sub: Submission, task: int, end: TaskEnd) -> bool:
+        """Returns whether a task may be started again; spends retry budget."""
         if sub.attempts[task] >= MAX_ATTEMPTS:
             return False
         if self._clock.now_ms() >= sub.deadline_ms:
             return False
-        if end.is_started:
+        if end.may_have_started:
             service = self._cfg.services.get(sub.service)
             if not (service and service.retry_lost and sub.is_repeatable):
                 return False
         return self._budget.try_retry()
 
     def _cancel_request(self, sub: Submission) -> None:
-        if sub.is_placed:
-            sub.is_placed = False
+        if sub.has_slot_request:
+            sub.has_slot_request = False
             self.actions.append(ToScheduler(SlotCancel(sub.number)))
 
     def _release(
@@ -519,36 +540,43 @@
             ToScheduler(SlotRelease(number, worker, result, took_ms))
         )
 
-    def _withdraw(self, sub: Submission) -> None:
-        """Gives back all slots not in use, and asks for no more."""
+    def _release_unused(self, sub: Submission) -> None:
+        """Cancels the slot request and releases the slots not in use."""
         self._cancel_request(sub)
-        for number, worker in sub.granted:
+        for number, worker in sub.unused_grants:
             self._release(number, worker, RELEASE_UNUSED, 0.0)
-        sub.granted.clear()
+        sub.unused_grants.clear()
 
     def sync_message(self) -> SlotSync:
-        """Returns what a new scheduler must know of this box."""
+        """Returns a report of held slots and open requests.
+
+        A new scheduler rebuilds its state from it.
+        """
         held = [
-            HeldSlot(number, held.worker, self._request_of(held.submission))
+            HeldSlot(
+                number, held.worker, self._make_slot_request(held.submission)
+            )
             for number, held in self._held.items()
         ]
-        waiting = [
-            self._request_of(sub)
+        requests = [
+            self._make_slot_request(sub)
             for sub in self._by_number.values()
-            if sub.is_placed and sub.wanted_slots > 0
+            if sub.has_slot_request and sub.missing_slots > 0
         ]
-        return SlotSync(held, waiting)
-
-    # Ends.
+        return SlotSync(held, requests)
 
     def _fail(self, sub: Submission, problem: Problem) -> None:
-        """Ends a submission; says whether any of it may have run."""
+        """Ends a submission with a problem.
+
+        The problem's `ran` is raised to "maybe" unless it is certain that no
+        task was started, here or by another box.
+        """
         is_unknown = not (sub.is_claimed or sub.is_first)
-        if problem.kind in NEVER_RUN:
+        if problem.kind in NOT_RUN_KINDS:
             is_unknown = False
-        if problem.ran is Ran.NO and (sub.started or is_unknown):
+        if problem.ran is Ran.NO and (sub.start_count or is_unknown):
             problem.ran = Ran.MAYBE
-        self._withdraw(sub)
+        self._release_unused(sub)
         self._finish(sub, render_problem(problem))
 
     def _finish(self, sub: Submission, outcome: Outcome) -> None:
@@ -556,7 +584,7 @@
         sub.outcome = outcome
         del self._by_key[sub.key]
         del self._by_number[sub.number]
-        self._record(sub, outcome)
+        self._end_claim(sub, outcome)
         self.counters.on_finished(
             sub, outcome, self._clock.now_ms() - sub.arrived_ms
         )
@@ -567,21 +595,25 @@
             else:
                 self.actions.append(Answer(waiter, outcome))
 
-    def _record(self, sub: Submission, outcome: Outcome) -> None:
+    def _end_claim(self, sub: Submission, outcome: Outcome) -> None:
+        """Completes or gives up the claim of a submission that is done."""
         if sub.is_claimed and is_final(outcome):
             done = Complete(sub.key, self._node, sub.number, outcome)
-            self._settle(done, sub.digest)
+            self._send_claim_end(done, sub.digest)
         elif sub.may_be_claimed:
-            self._settle(Unclaim(sub.key, self._node, sub.number), b"")
+            self._send_claim_end(Unclaim(sub.key, self._node, sub.number), b"")
 
-    def _settle(self, message: Complete | Unclaim, digest: bytes) -> None:
-        self._settlements.add(message, digest, self._clock.now_ms())
+    def _send_claim_end(
+        self, message: Complete | Unclaim, digest: bytes
+    ) -> None:
+        """Sends a claim's end; it is repeated until confirmed."""
+        self._pending_completions.add(message, digest, self._clock.now_ms())
         self.actions.append(ToRegistry(message))
 
     def tick(self) -> None:
-        """Lets time act: claims are sent again, deadlines pass."""
+        """Runs the periodic work: sends messages again, ends overdue jobs."""
         now_ms = self._clock.now_ms()
-        self._resend(now_ms)
+        self._resend_unconfirmed(now_ms)
         for sub in list(self._by_number.values()):
             if sub.phase is Phase.FOLLOWING:
                 self._tick_following(sub, now_ms)
@@ -590,36 +622,36 @@
             if sub.phase is not Phase.DONE and now_ms >= sub.deadline_ms:
                 self._expire(sub)
 
-    def _resend(self, now_ms: float) -> None:
-        for message in self._settlements.due(now_ms):
+    def _resend_unconfirmed(self, now_ms: float) -> None:
+        for message in self._pending_completions.due(now_ms):
             self.actions.append(ToRegistry(message))
         for lookup in self._lookups.due(now_ms):
             self.actions.append(ToRegistry(lookup))
         self.actions += self._lookups.expire(now_ms)
 
     def _tick_following(self, sub: Submission, now_ms: float) -> None:
-        if now_ms - sub.heard_ms >= FOLLOW_TIMEOUT_MS:
-            detail = "It does not answer now; the claim stays recorded."
+        if now_ms - sub.owner_heard_ms >= FOLLOW_TIMEOUT_MS:
+            detail = "The owner does not respond; its claim stays recorded."
             problem = Problem(
                 Kind.OWNER_LOST, detail, Ran.MAYBE, RETRY_AFTER_MS
             )
             self._fail(sub, problem)
-        elif now_ms - sub.asked_ms >= FOLLOW_MS:
+        elif now_ms - sub.claim_sent_ms >= FOLLOW_POLL_MS:
             self._send_claim(sub)
 
     def _tick_unclaimed(self, sub: Submission, now_ms: float) -> None:
         if now_ms - sub.arrived_ms >= CLAIM_TIMEOUT_MS:
             problem = Problem(
                 Kind.NO_REGISTRY,
-                "It did not answer in time.",
+                "The home hall did not reply to the claim in time.",
                 Ran.NO,
                 RETRY_AFTER_MS,
             )
             self._fail(sub, problem)
-        elif now_ms - sub.asked_ms >= CLAIM_RESEND_MS:
+        elif now_ms - sub.claim_sent_ms >= CLAIM_RESEND_MS:
             self._send_claim(sub)
 
     def _expire(self, sub: Submission) -> None:
         is_following = sub.phase is Phase.FOLLOWING
-        ran = Ran.MAYBE if is_following or sub.started else Ran.NO
-        self._fail(sub, Problem(Kind.DEADLINE, "It has passed.", ran))
+        ran = Ran.MAYBE if is_following or sub.start_count else Ran.NO
+        self._fail(sub, Problem(Kind.DEADLINE, "The deadline has passed.", ran))
--- a/packages/dispatch/src/clayfield/dispatch/lookups.py
+++ b/packages/dispatch/src/clayfield/dispatch/lookups.py
@@ -1,4 +1,4 @@
-"""Questions about keys, asked of their home halls."""
+"""Requests to home halls for the state of a key."""
 
 from clayfield.base import Kind, Problem, Ran
 from clayfield.dispatch.actions import Action, Answer, Tell
@@ -17,7 +17,9 @@
 RUNNING = "running"
 
 
-class _Asked:
+class _PendingLookup:
+    """A lookup without a reply, and the caller that waits for it."""
+
     __slots__ = ("lookup", "waiter")
 
     def __init__(self, lookup: Lookup, waiter: object):
@@ -26,50 +28,59 @@
 
 
 class Lookups:
-    """The questions of one box that are not answered yet.
+    """The lookups of one box that have no reply yet.
 
-    Their numbers are negative, those of submissions positive.
+    Lookups have negative numbers, which keeps them apart from submissions.
     """
 
-    __slots__ = ("_asked", "_node", "_number")
+    __slots__ = ("_last_number", "_node", "_pending")
 
     def __init__(self, node: str):
         self._node = node
-        self._number = 0
-        self._asked: Outstanding[int, _Asked] = Outstanding(RESEND_MS)
+        self._last_number = 0
+        self._pending: Outstanding[int, _PendingLookup] = Outstanding(RESEND_MS)
 
     def ask(self, key: str, waiter: object, now_ms: float) -> Lookup:
-        """Returns the question to send."""
-        self._number -= 1
-        lookup = Lookup(key, self._node, self._number)
-        self._asked.add(self._number, _Asked(lookup, waiter), now_ms)
+        """Registers a lookup and returns the message to send.
+
+        Args:
+            key: the caller's key with its member.
+            waiter: identifies the caller; passed back with the answer.
+            now_ms: the current time, in ms.
+        """
+        self._last_number -= 1
+        lookup = Lookup(key, self._node, self._last_number)
+        self._pending.add(
+            self._last_number, _PendingLookup(lookup, waiter), now_ms
+        )
         return lookup
 
     def on_reply(self, reply: ClaimReply) -> Action | None:
-        """Returns what to tell the asker, None if the reply is to no question.
+        """Returns the action that answers the caller.
 
-        Each question is answered once.
+        Returns None if the reply belongs to no pending lookup; each lookup is
+        answered once.
         """
-        asked = self._asked.pop(reply.nonce)
-        if asked is None:
+        pending = self._pending.pop(reply.nonce)
+        if pending is None:
             return None
         if reply.outcome:
-            return Answer(asked.waiter, reply.outcome)
+            return Answer(pending.waiter, reply.outcome)
         if reply.verdict == CLAIM_OWNED:
-            return Tell(asked.waiter, RUNNING)
+            return Tell(pending.waiter, RUNNING)
         problem = Problem(Kind.NOT_FOUND)
         if reply.verdict == CLAIM_LOST:
             problem = Problem(Kind.CLAIMS_LOST, "", Ran.MAYBE)
-        return Answer(asked.waiter, render_problem(problem))
+        return Answer(pending.waiter, render_problem(problem))
 
     def due(self, now_ms: float) -> list[Lookup]:
-        """Returns the questions to send again now."""
-        return [asked.lookup for asked in self._asked.due(now_ms)]
+        """Returns the lookups that are due to be sent again."""
+        return [pending.lookup for pending in self._pending.due(now_ms)]
 
     def expire(self, now_ms: float) -> list[Action]:
-        """Returns, once, what to tell those whose questions stay open."""
+        """Removes lookups that timed out; returns the answers to callers."""
         problem = Problem(Kind.NO_REGISTRY, "", Ran.MAYBE, RETRY_AFTER_MS)
         return [
-            Answer(asked.waiter, render_problem(problem))
-            for _, asked in self._asked.expire(now_ms, TIMEOUT_MS)
+            Answer(pending.waiter, render_problem(problem))
+            for _, pending in self._pending.expire(now_ms, TIMEOUT_MS)
         ]
--- a/packages/dispatch/src/clayfield/dispatch/outstanding.py
+++ b/packages/dispatch/src/clayfield/dispatch/outstanding.py
@@ -1,4 +1,4 @@
-"""Messages that wait for an answer and are sent again until it comes."""
+"""Tracks unanswered messages and when to send them again."""
 
 from collections.abc import Hashable
 from typing import Generic, TypeVar
@@ -7,23 +7,30 @@
 Item = TypeVar("Item")
 
 
-class _Sent:
-    __slots__ = ("item", "sent_ms", "since_ms")
+class _SentMessage:
+    """An unanswered message, with the times of its first and last sending."""
+
+    __slots__ = ("first_sent_ms", "item", "last_sent_ms")
 
     def __init__(self, item: object, now_ms: float):
         self.item = item
-        self.since_ms = now_ms
-        self.sent_ms = now_ms
+        self.first_sent_ms = now_ms
+        self.last_sent_ms = now_ms
 
 
 class Outstanding(Generic[Key, Item]):
-    """What was sent and not answered yet, by key."""
+    """Messages that were sent and have no reply yet, by key."""
 
     __slots__ = ("_resend_ms", "_sent")
 
     def __init__(self, resend_ms: float):
+        """Makes an empty table.
+
+        Args:
+            resend_ms: interval between two sendings of a message, in ms.
+        """
         self._resend_ms = resend_ms
-        self._sent: dict[Key, _Sent] = {}
+        self._sent: dict[Key, _SentMessage] = {}
 
     def __len__(self) -> int:
         return len(self._sent)
@@ -32,30 +39,36 @@
         return key in self._sent
 
     def add(self, key: Key, item: Item, now_ms: float) -> None:
-        """Takes what was just sent; what has the key already stays."""
-        self._sent.setdefault(key, _Sent(item, now_ms))
+        """Adds a message just sent, unless its key is already present."""
+        self._sent.setdefault(key, _SentMessage(item, now_ms))
 
     def pop(self, key: Key) -> Item | None:
-        """Takes out what was answered, None if nothing has the key."""
+        """Removes and returns the message with a key, or None."""
         sent = self._sent.pop(key, None)
         return sent.item if sent else None
 
     def due(self, now_ms: float) -> list[Item]:
-        """Returns what is to be sent again now."""
+        """Returns the messages due to be sent again; restarts their timers."""
         due = []
         for sent in self._sent.values():
-            if now_ms - sent.sent_ms >= self._resend_ms:
-                sent.sent_ms = now_ms
+            if now_ms - sent.last_sent_ms >= self._resend_ms:
+                sent.last_sent_ms = now_ms
                 due.append(sent.item)
         return due
 
     def expire(
         self, now_ms: float, timeout_ms: float
     ) -> list[tuple[Key, Item]]:
-        """Takes out, with their keys, what has waited for too long."""
-        late = [
+        """Removes and returns overdue messages as (key, message) pairs.
+
+        Args:
+            now_ms: the current time, in ms.
+            timeout_ms: time since the first sending after which a message is
+                overdue, in ms.
+        """
+        overdue = [
             key
             for key, sent in self._sent.items()
-            if now_ms - sent.since_ms >= timeout_ms
+            if now_ms - sent.first_sent_ms >= timeout_ms
         ]
-        return [(key, self._sent.pop(key).item) for key in late]
+        return [(key, self._sent.pop(key).item) for key in overdue]
--- a/packages/dispatch/src/clayfield/dispatch/submission.py
+++ b/packages/dispatch/src/clayfield/dispatch/submission.py
@@ -1,4 +1,4 @@
-"""One submission: what was asked, and how far its tasks have come."""
+"""A submission: the requested job and the progress of its tasks."""
 
 import enum
 
@@ -7,7 +7,11 @@
 
 
 class Phase(enum.Enum):
-    """Where a submission stands."""
+    """Phase of a submission.
+
+    OPEN: this box runs it. FOLLOWING: another box runs it, and this box waits
+    for its answer. DONE: it has its final answer.
+    """
 
     OPEN = "open"
     FOLLOWING = "following"
@@ -15,22 +19,23 @@
 
 
 class JobRequest:
-    """What a caller asks for, checked for its form.
+    """A caller's request to run a job, syntactically valid.
 
     Attributes:
-        member: whose it is.
-        key: the caller's key.
-        body: the whole request, to tell a reused key.
-        service: what its tasks need; perhaps not declared.
-        priority: its class; perhaps not declared.
-        tasks: the payloads, in task order.
-        is_repeatable: whether the caller marked it so.
-        deadline_ms: time it may take; 0 for no bound.
-        is_first: the caller never sent this key before; then a refusal may
-            say that nothing ran even if the registry is out of reach.
-        traceparent: of the caller's trace, or "".
-        refusal: why it cannot run now. It is told only once the registry has
-            said that the key did not run earlier.
+        member: the member that sent it.
+        key: the caller's idempotency key.
+        body: the complete request body, compared to detect a reused key.
+        service: name of the service; may be undeclared.
+        priority: name of the priority class; may be undeclared.
+        tasks: payloads of the tasks, in task order.
+        is_repeatable: whether the caller allows a task to run more than once.
+        deadline_ms: time allowed for the job, in ms; 0 for no limit.
+        is_first: whether the caller states that it never sent this key
+            before; a refusal can then report that nothing ran without a reply
+            of the registry.
+        traceparent: W3C `traceparent` of the caller's trace; "" for none.
+        refusal: why the job cannot run now, or None. Unless `is_first`, it is
+            returned only once the registry confirms that the key did not run.
     """
 
     __slots__ = (
@@ -78,52 +83,55 @@
     """A job that a caller submitted to this box.
 
     Attributes:
-        number: this box's number for it; also its slot request's.
+        number: number of the submission and of its slot request, unique on
+            this box.
         key: the caller's key with its member.
-        digest: of the body.
-        member: whose it is.
-        service: the service of all its tasks.
-        priority: its class.
-        is_repeatable: whether the caller marked it so.
-        is_first: whether the caller says it never sent this key before.
-        refusal: the scheduler's, until the claim is answered.
-        deadline_ms: by when it must have ended, on this box's clock.
-        tasks: the payloads, in task order.
-        phase: open while run here, following while run elsewhere.
+        digest: digest of the request body.
+        member: the member that sent it.
+        service: name of the service of all its tasks.
+        priority: name of its priority class.
+        is_repeatable: whether the caller allows a task to run more than once.
+        is_first: whether the caller states that it never sent this key
+            before.
+        refusal: a refusal withheld until the registry replies to the claim;
+            None for none.
+        deadline_ms: time by which it must have ended, on this box's clock;
+            infinite for none.
+        tasks: payloads of the tasks, in task order.
+        phase: whether it runs here, runs on another box or is done.
         is_claimed: whether the claim was granted.
-        may_be_claimed: whether a claim may stand in the registry.
-        is_placed: whether a slot request is out.
-        arrived_ms: when it came.
-        asked_ms: when the claim was last sent.
-        claimed_ms: when the claim was granted.
-        granted_ms: when the first slot was granted.
-        longest_ms: the longest time of its tasks so far.
-        heard_ms: when the owner it follows last spoke of it.
-        granted: (grant, worker) held for tasks not yet started.
-        to_start: tasks not yet started, the next one last.
-        running: task index by grant.
-        attempts: starts of each task.
-        started: how many starts were made in all.
-        answers: the answers in task order, None where missing.
-        outcome: the final answer.
-        waiters: who is to get it.
-        traceparent: of the caller's trace, or "".
+        may_be_claimed: whether the registry may have recorded the claim.
+        has_slot_request: whether a slot request was sent and not cancelled.
+        arrived_ms: time of arrival, in ms.
+        claim_sent_ms: time of the last claim or fetch sent, in ms.
+        claimed_ms: time when the claim was granted, in ms.
+        granted_ms: time when the first slot was granted, in ms; 0 before.
+        longest_ms: duration of the longest task so far, in ms.
+        owner_heard_ms: time of the last reply of the owner that it follows,
+            in ms.
+        unused_grants: (grant, worker) pairs held for tasks not yet started.
+        unstarted_tasks: indices of the tasks to start, the next one last.
+        running: index of the running task by grant.
+        attempts: number of attempts by task.
+        start_count: number of attempts that started or may have started.
+        answers: answers in task order, None where missing.
+        outcome: the final answer, None before.
+        waiters: the callers and boxes that get the final answer.
+        traceparent: W3C `traceparent` of the caller's trace; "" for none.
     """
 
     __slots__ = (
         "answers",
         "arrived_ms",
-        "asked_ms",
         "attempts",
+        "claim_sent_ms",
         "claimed_ms",
         "deadline_ms",
         "digest",
-        "granted",
         "granted_ms",
-        "heard_ms",
+        "has_slot_request",
         "is_claimed",
         "is_first",
-        "is_placed",
         "is_repeatable",
         "key",
         "longest_ms",
@@ -131,15 +139,17 @@
         "member",
         "number",
         "outcome",
+        "owner_heard_ms",
         "phase",
         "priority",
         "refusal",
         "running",
         "service",
-        "started",
+        "start_count",
         "tasks",
-        "to_start",
         "traceparent",
+        "unstarted_tasks",
+        "unused_grants",
         "waiters",
     )
 
@@ -151,14 +161,14 @@
         req: JobRequest,
         now_ms: float,
     ):
-        """Starts a submission.
+        """Makes an open submission.
 
         Args:
-            number: this box's number for it.
+            number: number of the submission.
             key: the caller's key with its member.
-            digest: of the body.
-            req: what was asked.
-            now_ms: the time on this box's clock.
+            digest: digest of the request body.
+            req: the job.
+            now_ms: the current time on this box's clock, in ms.
         """
         self.number = number
         self.key = key
@@ -176,18 +186,18 @@
         self.refusal: Problem | None = None
         self.is_claimed = False
         self.may_be_claimed = True
-        self.is_placed = False
+        self.has_slot_request = False
         self.arrived_ms = now_ms
-        self.asked_ms = now_ms
-        self.heard_ms = now_ms
+        self.claim_sent_ms = now_ms
+        self.owner_heard_ms = now_ms
         self.claimed_ms = now_ms
         self.granted_ms = 0.0
         self.longest_ms = 0.0
-        self.granted: list[tuple[int, str]] = []
-        self.to_start = list(range(len(req.tasks) - 1, -1, -1))
+        self.unused_grants: list[tuple[int, str]] = []
+        self.unstarted_tasks = list(range(len(req.tasks) - 1, -1, -1))
         self.running: dict[int, int] = {}
         self.attempts = [0] * len(req.tasks)
-        self.started = 0
+        self.start_count = 0
         self.answers: list[bytes | None] = [None] * len(req.tasks)
         self.outcome: Outcome | None = None
         self.waiters: list[object] = []
@@ -199,6 +209,6 @@
         return all(answer is not None for answer in self.answers)
 
     @property
-    def wanted_slots(self) -> int:
-        """How many slots are still to be asked for."""
-        return len(self.to_start) - len(self.granted)
+    def missing_slots(self) -> int:
+        """Number of slots still needed to start the remaining tasks."""
+        return len(self.unstarted_tasks) - len(self.unused_grants)
--- a/packages/dispatch/src/clayfield/dispatch/task_end.py
+++ b/packages/dispatch/src/clayfield/dispatch/task_end.py
@@ -1,4 +1,4 @@
-"""How a task's start can end."""
+"""The possible outcomes of an attempt to run a task."""
 
 import enum
 
@@ -11,11 +11,12 @@
 
 
 class TaskEnd(enum.Enum):
-    """How a start ended, as far as its box can tell.
+    """The outcome of an attempt, as far as the box can determine it.
 
     Attributes:
-        release: what the scheduler is told of the slot.
-        is_started: whether the task may have started.
+        text: name of the outcome in error details.
+        release_result: result reported to the scheduler with the slot.
+        may_have_started: whether the worker may have started the task.
     """
 
     ANSWERED = ("answered", RELEASE_DONE, True)
@@ -25,7 +26,7 @@
     LEAVING = ("leaving", RELEASE_LEAVING, False)
     UNREACHED = ("unreached", RELEASE_LOST, False)
 
-    def __init__(self, text: str, release: int, is_started: bool):
+    def __init__(self, text: str, release_result: int, may_have_started: bool):
         self.text = text
-        self.release = release
-        self.is_started = is_started
+        self.release_result = release_result
+        self.may_have_started = may_have_started
