--- a/packages/dispatch/src/clayfield/dispatch/__init__.py
+++ b/packages/dispatch/src/clayfield/dispatch/__init__.py
@@ -1,7 +1,8 @@
-"""Pure decisions: who runs what, where, in what order, and what is refused.
+"""Decides which task runs on which worker, in what order, or is refused.
 
-Data flows one way: `Entry` takes a submission, `Scheduler` grants it slots,
-`Entry` starts its tasks and gives the whole answer.
+The package does no I/O. `Entry` accepts a submission and requests slots,
+`Scheduler` grants them, and `Entry` starts the tasks and returns the complete
+answer. What is to be sent is returned as messages and actions.
 """
 
 from clayfield.dispatch.actions import (
--- a/packages/dispatch/src/clayfield/dispatch/actions.py
+++ b/packages/dispatch/src/clayfield/dispatch/actions.py
@@ -1,16 +1,20 @@
-"""What the entry decides is to be done; the runtime carries it out."""
+"""The actions that the submission manager requests from the runtime."""
 
 from clayfield.wire.messages import Message, Outcome
 
 
 class Action:
-    """The base of all actions."""
+    """Base class of all actions."""
 
     __slots__ = ()
 
 
 class ToRegistry(Action):
-    """Send a claim command to the home hall of its key."""
+    """Sends a claim command to the home hall of its key.
+
+    Attributes:
+        message: the command.
+    """
 
     __slots__ = ("message",)
 
@@ -19,7 +23,11 @@
 
 
 class ToScheduler(Action):
-    """Send a message to this hall's scheduler."""
+    """Sends a message to this hall's scheduler.
+
+    Attributes:
+        message: the message.
+    """
 
     __slots__ = ("message",)
 
@@ -28,7 +36,12 @@
 
 
 class ToNode(Action):
-    """Send a message to a node."""
+    """Sends a message to a node.
+
+    Attributes:
+        node: the receiving node.
+        message: the message.
+    """
 
     __slots__ = ("message", "node")
 
@@ -38,18 +51,18 @@
 
 
 class StartTask(Action):
-    """Start a task at a worker.
+    """Starts a task on a worker.
 
     Attributes:
-        grant: the slot's number, which also names this start.
-        worker: the worker's name.
+        grant: number of the slot's grant; also identifies this attempt.
+        worker: name of the worker.
         submission: number of the submission.
-        task: index of the task in it.
-        attempt: 1 for the task's first start.
-        priority: the class.
-        timeout_ms: when to give it up.
-        payload: what the worker gets.
-        traceparent: of the trace, or "".
+        task: index of the task in the submission.
+        attempt: number of the attempt, from 1.
+        priority: name of the priority class.
+        timeout_ms: time after which the task counts as lost, in ms.
+        payload: request body for the worker.
+        traceparent: W3C `traceparent` of the caller's trace; "" for none.
     """
 
     __slots__ = (
@@ -88,7 +101,12 @@
 
 
 class Answer(Action):
-    """Give a waiter its final answer."""
+    """Returns the final answer to a waiter.
+
+    Attributes:
+        waiter: the caller that waits, as given to the submission manager.
+        outcome: the answer.
+    """
 
     __slots__ = ("outcome", "waiter")
 
@@ -98,7 +116,12 @@
 
 
 class Tell(Action):
-    """Tell a waiter the state of a key that has no final answer."""
+    """Returns the state of a key without a final answer to a waiter.
+
+    Attributes:
+        waiter: the caller that waits, as given to the submission manager.
+        state: the state, such as "running".
+    """
 
     __slots__ = ("state", "waiter")
 
--- a/packages/dispatch/src/clayfield/dispatch/budget.py
+++ b/packages/dispatch/src/clayfield/dispatch/budget.py
@@ -1,27 +1,27 @@
-"""Bounds retries to a share of first starts."""
+"""Limits retries to a share of first attempts."""
 
-BURST = 10.0
+MAX_TOKENS = 10.0
 
 
 class RetryBudget:
-    """A bucket that first starts fill and retries empty.
+    """A token bucket that first attempts fill and retries drain.
 
     Attributes:
-        share: retries earned by one first start.
+        share: tokens added by each first attempt; a retry takes one token.
     """
 
     __slots__ = ("_tokens", "share")
 
     def __init__(self, share: float):
         self.share = share
-        self._tokens = BURST
+        self._tokens = MAX_TOKENS
 
     def on_first(self) -> None:
-        """Counts a first start."""
-        self._tokens = min(BURST, self._tokens + self.share)
+        """Adds tokens for the first attempt of a task."""
+        self._tokens = min(MAX_TOKENS, self._tokens + self.share)
 
     def try_retry(self) -> bool:
-        """Takes a retry from the budget; False when it is used up."""
+        """Takes a token for a retry; returns False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/packages/dispatch/src/clayfield/dispatch/counters.py
+++ b/packages/dispatch/src/clayfield/dispatch/counters.py
@@ -1,4 +1,4 @@
-"""What an entry counts; metrics and benchmarks read it."""
+"""Counters of a box's submissions and tasks, exported as metrics."""
 
 import collections
 from collections.abc import Callable
@@ -8,19 +8,22 @@
 
 
 class Counters:
-    """Counts since start.
+    """Counts since the box started.
 
     Attributes:
-        submitted: submissions taken.
-        resubmitted: submissions that joined one already open here.
-        starts: task starts sent.
-        answered: task answers taken.
-        retries: starts sent again.
-        wasted: starts that brought no result.
-        late_answers: answers that nobody waited for.
-        refused: refusals by code.
-        finished: ends by status.
-        listener: told of each end: submission, outcome, response in ms.
+        submitted: number of submissions accepted.
+        resubmitted: number of requests whose key was open or had just ended
+            here.
+        starts: number of task attempts started.
+        answered: number of task answers used.
+        retries: number of tasks scheduled for another attempt.
+        wasted: number of attempts without a used result.
+        late_answers: number of outcomes for attempts that were not running.
+        refused: number of refused submissions by error code.
+        finished: number of finished submissions by HTTP status.
+        listener: callback for each finished submission, called with the
+            submission, its outcome and the response time in ms; None for
+            none.
     """
 
     __slots__ = (
@@ -53,7 +56,7 @@
     def on_finished(
         self, sub: Submission, outcome: Outcome, response_ms: float
     ) -> None:
-        """Counts the end of a submission."""
+        """Counts a finished submission and calls the listener."""
         self.finished[outcome.status] += 1
         if self.listener:
             self.listener(sub, outcome, response_ms)
--- a/packages/dispatch/src/clayfield/dispatch/rendering.py
+++ b/packages/dispatch/src/clayfield/dispatch/rendering.py
@@ -1,4 +1,8 @@
-"""The bodies of final answers, so that every fetch gives the same bytes."""
+"""Encodes the bodies of final answers.
+
+A body is encoded once, so that every request for the answer gets the same
+bytes.
+"""
 
 import math
 
@@ -12,13 +16,29 @@
 
 
 class Answers(msgspec.Struct, frozen=True):
-    """The body of a complete answer: one answer a task, in task order."""
+    """The body of a successful answer.
+
+    Attributes:
+        answers: one answer per task, in task order.
+    """
 
     answers: list[msgspec.Raw]
 
 
 class ProblemBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A problem document after RFC 9457, with the project's members."""
+    """A problem document as of RFC 9457, with extension members.
+
+    Attributes:
+        type: URN of the kind of problem.
+        title: the kind of problem in a few words.
+        status: HTTP status.
+        code: stable error code.
+        ran: whether any task was started: "no", "maybe" or "yes".
+        remedy: what the caller can do.
+        detail: the particulars; "" for none.
+        retry_after_ms: time after which to retry, in ms; None if a retry does
+            not help.
+    """
 
     type: str
     title: str
@@ -35,13 +55,13 @@
 
 
 def render_answers(answers: list[bytes]) -> Outcome:
-    """Returns the outcome of a submission all of whose tasks answered."""
+    """Returns the outcome of a submission whose tasks all answered."""
     body = Answers([msgspec.Raw(answer) for answer in answers])
     return Outcome(200, _encoder.encode(body))
 
 
 def render_problem(problem: Problem) -> Outcome:
-    """Returns the outcome that tells a problem."""
+    """Returns the outcome that reports a problem."""
     kind = problem.kind
     body = ProblemBody(
         PROBLEM_BASE + kind.code.lower(),
@@ -57,17 +77,20 @@
 
 
 def read_problem(body: bytes) -> ProblemBody:
-    """Returns the problem that `render_problem` wrote."""
+    """Decodes a body that `render_problem` encoded."""
     return _problem_decoder.decode(body)
 
 
 def retry_after_s(retry_after_ms: int) -> int:
-    """Returns whole seconds, rounded up, for a Retry-After header."""
+    """Returns the value of a Retry-After header: seconds, rounded up."""
     return max(1, math.ceil(retry_after_ms / MS_PER_S))
 
 
 def is_final(outcome: Outcome) -> bool:
-    """Tells whether an outcome is kept: not when nothing ran."""
+    """Returns whether an outcome is recorded for its key.
+
+    A problem with `ran` = "no" is not recorded; the key can be used again.
+    """
     if outcome.status == 200:
         return True
     return read_problem(outcome.body).ran != Ran.NO
--- a/packages/dispatch/src/clayfield/dispatch/settlements.py
+++ b/packages/dispatch/src/clayfield/dispatch/settlements.py
@@ -1,4 +1,4 @@
-"""Claims that have ended here but whose registry has not confirmed it yet."""
+"""Tracks ended claims until their registry confirms the end."""
 
 from clayfield.dispatch.outstanding import Outstanding
 from clayfield.wire.messages import Complete, Outcome, Unclaim
@@ -7,15 +7,19 @@
 
 
 class Settlements:
-    """Sends each end of a claim until the registry confirms it."""
+    """The claims that ended here and are not confirmed by their registry.
 
-    __slots__ = ("_ended", "_pending")
+    An end is a `Complete` message with the outcome, or an `Unclaim` message
+    if no task was started.
+    """
+
+    __slots__ = ("_completed", "_pending")
 
     def __init__(self) -> None:
         self._pending: Outstanding[tuple[str, int], Complete | Unclaim] = (
             Outstanding(RESEND_MS)
         )
-        self._ended: dict[str, tuple[bytes, Outcome]] = {}
+        self._completed: dict[str, tuple[bytes, Outcome]] = {}
 
     def __len__(self) -> int:
         return len(self._pending)
@@ -23,24 +27,30 @@
     def add(
         self, message: Complete | Unclaim, digest: bytes, now_ms: float
     ) -> None:
-        """Takes an end that was just sent for the first time."""
+        """Adds the end of a claim that was just sent.
+
+        Args:
+            message: the end.
+            digest: digest of the request body; unused for an `Unclaim`.
+            now_ms: the current time, in ms.
+        """
         self._pending.add((message.key, message.nonce), message, now_ms)
         if isinstance(message, Complete):
-            self._ended.setdefault(message.key, (digest, message.outcome))
+            self._completed.setdefault(message.key, (digest, message.outcome))
 
     def on_settled(self, key: str, nonce: int) -> None:
-        """Learns that the registry has an end."""
+        """Removes an end that the registry confirmed."""
         if isinstance(self._pending.pop((key, nonce)), Complete):
-            self._ended.pop(key, None)
+            self._completed.pop(key, None)
 
     def is_pending(self, key: str, nonce: int) -> bool:
-        """Tells whether an end is not confirmed yet."""
+        """Returns whether the end of a claim is still unconfirmed."""
         return (key, nonce) in self._pending
 
     def outcome_of(self, key: str) -> tuple[bytes, Outcome] | None:
-        """Returns digest and outcome of a key that has just ended here."""
-        return self._ended.get(key)
+        """Returns digest and outcome of an unconfirmed `Complete`, or None."""
+        return self._completed.get(key)
 
     def due(self, now_ms: float) -> list[Complete | Unclaim]:
-        """Returns what is to be sent again now."""
+        """Returns the ends that are due to be sent again."""
         return self._pending.due(now_ms)
--- a/packages/dispatch/src/clayfield/dispatch/waiters.py
+++ b/packages/dispatch/src/clayfield/dispatch/waiters.py
@@ -1,8 +1,13 @@
-"""Who waits for an answer, besides a box's own callers."""
+"""Waiters for an answer that are not callers of this box."""
 
 
 class RemoteWaiter:
-    """Another box that waits for an answer."""
+    """Another box that waits for the answer of a submission.
+
+    Attributes:
+        node: node of the box.
+        key: the caller's key with its member.
+    """
 
     __slots__ = ("key", "node")
 
