--- a/packages/config/src/clayfield/config/__init__.py
+++ b/packages/config/src/clayfield/config/__init__.py
@@ -1,4 +1,4 @@
-"""The declarative configuration: its model, its checks and its changes."""
+"""The declarative configuration: its model, file parser and deltas."""
 
 from clayfield.config.delta import diff, patch, version_of
 from clayfield.config.faults import BadConfigError, Fault
--- a/packages/config/src/clayfield/config/delta.py
+++ b/packages/config/src/clayfield/config/delta.py
@@ -1,4 +1,8 @@
-"""What changed between two configurations, small enough for every box."""
+"""Encodes the difference between two configurations.
+
+Boxes that hold a version of the configuration receive only the delta to the
+next one.
+"""
 
 import msgspec
 
@@ -11,9 +15,9 @@
     """The change from one version to the next.
 
     Attributes:
-        version: the version reached.
-        put: by path (`table/name`, or `limits`) the new value in JSON.
-        drop: the paths that are gone.
+        version: the version that the change leads to.
+        put: new or changed values in JSON, by path: `table/name` or `limits`.
+        drop: the removed paths.
     """
 
     version: int
@@ -26,6 +30,7 @@
 
 
 def _flatten(configuration: Configuration) -> dict[str, bytes]:
+    """Returns the encoded values of a configuration by path."""
     flat = {"limits": _encoder.encode(configuration.limits)}
     for table in TABLES:
         for name, value in getattr(configuration, table).items():
@@ -34,7 +39,7 @@
 
 
 def diff(before: Configuration, after: Configuration) -> bytes:
-    """Returns the encoded change from `before` to `after`."""
+    """Returns the encoded delta from `before` to `after`."""
     old = _flatten(before)
     new = _flatten(after)
     put = {
@@ -47,19 +52,22 @@
 
 
 def version_of(delta: bytes) -> int:
-    """Returns the version that an encoded change reaches."""
+    """Returns the version that an encoded delta leads to."""
     return _decoder.decode(delta).version
 
 
 def patch(before: Configuration, delta: bytes) -> Configuration:
-    """Returns the configuration that a change leads to.
+    """Returns the configuration that results from an encoded delta.
 
     Raises:
-        ValueError: the change does not start from `before`.
+        ValueError: the delta does not start from the version of `before`.
     """
     change = _decoder.decode(delta)
     if change.version != before.version + 1:
-        raise ValueError(f"version {change.version} follows {before.version}")
+        raise ValueError(
+            f"delta to version {change.version} does not apply to version"
+            f" {before.version}"
+        )
     tree = msgspec.json.decode(to_bytes(before))
     tree["replaces"] = change.version - 1
     for path in change.drop:
--- a/packages/config/src/clayfield/config/faults.py
+++ b/packages/config/src/clayfield/config/faults.py
@@ -1,16 +1,16 @@
-"""The faults of a configuration file."""
+"""Errors found in a configuration file."""
 
 from clayfield.base import ClayfieldError, Kind
 
 
 class Fault:
-    """One fault of a file.
+    """One error in a file, with its position.
 
     Attributes:
-        line: the line it stands on, from 1; 0 for the file as a whole.
-        path: the names that lead to it, joined by dots.
-        problem: what is wrong.
-        remedy: what to write instead.
+        line: line number, from 1; 0 for the file as a whole.
+        path: names of the enclosing fields joined by dots; "" for the file.
+        problem: description of the error.
+        remedy: how to correct it.
     """
 
     __slots__ = ("line", "path", "problem", "remedy")
@@ -22,12 +22,16 @@
         self.remedy = remedy
 
     def __str__(self) -> str:
-        place = f"line {self.line}: {self.path or 'file'}"
-        return f"{place}: {self.problem}. {self.remedy}"
+        location = f"line {self.line}: {self.path or 'file'}"
+        return f"{location}: {self.problem}. {self.remedy}"
 
 
 class BadConfigError(ClayfieldError):
-    """A file was rejected; it lists every fault."""
+    """Raised for a configuration file with errors.
+
+    Attributes:
+        faults: all errors found.
+    """
 
     def __init__(self, faults: list[Fault]):
         super().__init__(
--- a/packages/config/src/clayfield/config/model.py
+++ b/packages/config/src/clayfield/config/model.py
@@ -1,7 +1,8 @@
-"""The desired configuration as typed records.
+"""The configuration as typed records.
 
-Times are milliseconds, sizes bytes unless a name says otherwise. Bounds stand
-in the types, so that the reader of files and the control log check alike.
+Times are in milliseconds and sizes in bytes unless the name has another unit.
+Bounds are part of the types, so that the file parser and the control log apply
+the same checks.
 """
 
 from typing import Annotated
@@ -18,26 +19,27 @@
 class _Section(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """The base of all records of a file."""
+    """Base class of all records."""
 
 
 class Hall(_Section, frozen=True):
-    """A hall that may be named in keys.
+    """A hall (a zone) whose name may occur in idempotency keys.
 
     Attributes:
-        generation: raised by an operator when all replicas of the hall's
-            claims were lost; see docs/operators/claims.md.
+        generation: number that an operator raises after all replicas of the
+            hall's claims were lost; see docs/operators/claims.md.
     """
 
     generation: Positive = 1
 
 
 class PriorityClass(_Section, frozen=True):
-    """A class of work and what is paid for it.
+    """A priority class.
 
     Attributes:
-        price: a dearer class goes before a cheaper one.
-        first: goes before every price, and has slots held back for it.
+        price: price; a class with a higher price is served first.
+        first: whether it is served before all other classes and has slots
+            reserved for it.
     """
 
     price: Count
@@ -45,17 +47,19 @@
 
 
 class Service(_Section, frozen=True):
-    """A kind of work and what it needs of a worker.
+    """A type of task and its requirements on workers.
 
     Attributes:
-        pool: the workers' pool that serves it.
-        expected_ms: time of a task until measured ones are known.
-        timeout_ms: when a started task counts as lost.
-        retry_lost: start a *repeatable* task again that may have run.
-        cores: processors that a worker must have.
-        memory_mb: memory that a worker must have.
-        accelerators: accelerators that a worker must have.
-        spread_racks: place the tasks of a job on different racks if possible.
+        pool: name of the pool of workers that serves it.
+        expected_ms: expected duration of a task, used until one is measured.
+        timeout_ms: time after which a started task counts as lost.
+        retry_lost: whether a lost task of a repeatable job is started again
+            although it may have run.
+        cores: least number of processors of a worker.
+        memory_mb: least memory of a worker, in MB.
+        accelerators: least number of accelerators of a worker.
+        spread_racks: whether to place a job's tasks on different racks where
+            possible.
     """
 
     pool: Name = "default"
@@ -69,7 +73,14 @@
 
 
 class Job(_Section, frozen=True):
-    """Defaults for submissions that name this job."""
+    """Defaults for submissions that name this job.
+
+    Attributes:
+        service: name of the service.
+        priority: name of the priority class.
+        repeatable: whether a task may run more than once.
+        deadline_ms: time allowed for the job; 0 for no limit.
+    """
 
     service: Name
     priority: Name
@@ -78,12 +89,13 @@
 
 
 class Member(_Section, frozen=True):
-    """A customer and what it may hold.
+    """A member (a customer) and its quotas.
 
     Attributes:
         tokens: SHA-256 of each bearer token, in hexadecimal.
-        slots: tasks running at once in a hall; 0 for no quota.
-        queued_tasks: tasks waiting at once in a hall; 0 for no quota.
+        slots: largest number of running tasks in a hall; 0 for no quota.
+        queued_tasks: largest number of queued tasks in a hall; 0 for no
+            quota.
     """
 
     tokens: list[Sha256] = []
@@ -92,20 +104,25 @@
 
 
 class Operator(_Section, frozen=True):
-    """Somebody who may apply configurations."""
+    """A person or program that may apply configurations.
+
+    Attributes:
+        tokens: SHA-256 of each bearer token, in hexadecimal.
+    """
 
     tokens: list[Sha256] = []
 
 
 class Limits(_Section, frozen=True):
-    """What one request, and all that wait, may take.
+    """Limits on single requests, queues, stored answers and retries.
 
     Attributes:
-        body_bytes: of a submission.
-        tasks_per_job: of a submission.
-        queue_ms: work that may wait, in ms of the whole pool's time.
-        claim_retention_ms: how long an answer is kept.
-        retry_share: retries per first start, at most.
+        body_bytes: largest body of a submission.
+        tasks_per_job: largest number of tasks of a submission.
+        queue_ms: limit on queued work, as the time that the whole pool needs
+            for it.
+        claim_retention_ms: time for which a final answer is kept.
+        retry_share: largest number of retries per first attempt.
     """
 
     body_bytes: Positive = 1_048_576
@@ -116,10 +133,17 @@
 
 
 class Configuration(_Section, frozen=True):
-    """Everything that operators declare.
+    """A configuration as declared by operators.
 
     Attributes:
-        replaces: the version that this one was made from.
+        replaces: version that this configuration replaces.
+        halls: halls by name.
+        classes: priority classes by name.
+        services: services by name.
+        jobs: defaults of named jobs by name.
+        members: members by name.
+        operators: operators by name.
+        limits: limits on requests and queues.
     """
 
     replaces: Count = 0
@@ -133,11 +157,11 @@
 
     @property
     def version(self) -> int:
-        """The version that this configuration is, once accepted."""
+        """Version number of this configuration once it is accepted."""
         return self.replaces + 1
 
     def ranks(self) -> dict[str, int]:
-        """Returns the rank of each class, 0 the first to run."""
+        """Returns the rank of each priority class; 0 is served first."""
         order = sorted(
             self.classes,
             key=lambda name: (
@@ -149,7 +173,7 @@
         return {name: rank for rank, name in enumerate(order)}
 
 
-# Version 0: what is in force before the first file.
+# Version 0, active before the first file is applied.
 EMPTY = Configuration(replaces=-1)
 
 _encoder = msgspec.json.Encoder(order="deterministic")
@@ -157,14 +181,17 @@
 
 
 def to_bytes(configuration: Configuration) -> bytes:
-    """Returns the canonical form: equal configurations, equal bytes."""
+    """Returns the canonical encoding of a configuration.
+
+    Equal configurations have equal encodings.
+    """
     return _encoder.encode(configuration)
 
 
 def from_bytes(data: bytes) -> Configuration:
-    """Returns the configuration of a canonical form.
+    """Returns the configuration with a canonical encoding.
 
     Raises:
-        msgspec.ValidationError: the data is of another shape.
+        msgspec.ValidationError: the data is not an encoded configuration.
     """
     return _decoder.decode(data)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration files, their faults and their changes."""
+"""Parsing of configuration files, and deltas between configurations."""
 
 import pathlib
 
@@ -24,7 +24,7 @@
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 TOKEN = "a" * 64
-SOUND = f"""\
+VALID = f"""\
 replaces: 3
 halls: {{h1: {{}}}}
 classes:
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("name", ["ordervaart.yaml", "ventanal.yaml"])
-def test_the_examples_are_sound(name):
+def test_example_files_are_valid(name):
     cfg = parse((EXAMPLES / name).read_text())
     assert cfg.version == 1
     assert from_bytes(to_bytes(cfg)) == cfg
@@ -55,7 +55,7 @@
             "classes:\n  other: {price: 5}",
             5,
             "classes.dear",
-            "has the price of other",
+            "has the same price as other",
         ),
         (
             "services:",
@@ -71,25 +71,29 @@
             "operators.o",
             "shares a token",
         ),
-        ("halls:", "replaces: 4\nhalls:", 2, "replaces", "stands twice"),
+        ("halls:", "replaces: 4\nhalls:", 2, "replaces", "duplicate name"),
         (TOKEN, "secret", 6, "operators.o.tokens", "regex"),
         (f"[{TOKEN}]", "[]", 6, "operators", "no operator has a token"),
         ("dear: {", "dear: {{", 4, "", "not YAML"),
         ("replaces: 3", "replaces: 1.5", 1, "replaces", "Expected `int`"),
     ],
 )
-def test_a_fault_is_told_with_its_line(before, after, line, path, problem):
-    text = SOUND.replace(before, after)
-    assert text != SOUND
+def test_error_is_reported_with_line_and_path(
+    before, after, line, path, problem
+):
+    text = VALID.replace(before, after)
+    assert text != VALID
     with pytest.raises(BadConfigError) as info:
         parse(text)
-    told = [(f.line, f.path) for f in info.value.faults if problem in f.problem]
-    assert (line, path) in told or (path == "" and told[0][0] >= line)
+    reported = [
+        (f.line, f.path) for f in info.value.faults if problem in f.problem
+    ]
+    assert (line, path) in reported or (path == "" and reported[0][0] >= line)
     assert all(fault.remedy for fault in info.value.faults)
 
 
-def test_all_faults_are_told_at_once():
-    text = SOUND.replace("price: 5", "price: x").replace("90", "0")
+def test_all_errors_are_reported_together():
+    text = VALID.replace("price: 5", "price: x").replace("90", "0")
     with pytest.raises(BadConfigError) as info:
         parse(text)
     assert [fault.line for fault in info.value.faults] == [4, 5]
