--- a/packages/box/src/clayfield/box/core.py
+++ b/packages/box/src/clayfield/box/core.py
@@ -1,7 +1,9 @@
-"""One box as a state machine: events and a clock in, actions out.
+"""One box as a deterministic state machine.
 
-The daemon runs it on sockets and a disk; the failure tests and benchmarks run
-the same class on a manual clock.
+A box is a machine of the system and stands in a hall (a zone). `BoxCore` takes
+events and clock readings and returns actions; it does no I/O itself. The
+daemon runs it on sockets and a disk; the failure tests and benchmarks run it
+on a manual clock.
 """
 
 import collections
@@ -45,26 +47,30 @@
 
 CONTROL_GROUP = "control"
 HALL_GROUP_PREFIX = "hall:"
-HEARTBEAT_MS = 250.0
-SYNC_MS = 5000.0
-WITNESS_PATIENCE = 3.0
+HEARTBEAT_INTERVAL_MS = 250.0
+SLOT_SYNC_INTERVAL_MS = 5000.0
+# Boxes of other halls stand for election later, so that a box of the hall
+# itself usually leads.
+REMOTE_ELECTION_TIMEOUT_FACTOR = 3.0
 NOT_READY_RETRY_MS = 500
-# Configurations may wait longer for a leader than claims.
+# Configuration changes tolerate a longer election than claims do.
 CONTROL_TIMING = Timing(
     election_ms=1200.0, heartbeat_ms=300.0, compact_entries=512
 )
 
 
 class BoxCore:
-    """The decisions of one box.
+    """The decision logic of one box, without I/O.
 
     Attributes:
-        identity: who the box is.
-        entry: its submissions.
-        peers: its peers.
-        follower: its configuration in force.
-        registries: the claims that it replicates, by hall.
-        control: its part in the control log, None without a data folder.
+        identity: the box's name, hall, incarnation and configured peers.
+        entry: the submissions that callers sent to this box.
+        peers: the last heartbeat of each peer.
+        follower: the active configuration.
+        registries: by hall, the replicas of the claims of idempotency keys
+            that this box takes part in.
+        control: this box's replica of the control log, None without a data
+            folder.
     """
 
     def __init__(
@@ -76,15 +82,16 @@
         timing: Timing | None = None,
         control_timing: Timing | None = None,
     ):
-        """Starts a box.
+        """Creates the box's components and activates the stored configuration.
 
         Args:
-            identity: who it is.
-            clock: the time.
-            rng: spreads election times.
-            stored: what its data folder holds, None without one.
-            timing: the times of the halls' groups.
-            control_timing: the times of the control log.
+            identity: the box's name, hall, incarnation and configured peers.
+            clock: the source of time.
+            rng: randomizes election timeouts.
+            stored: the state read from the data folder, None without one.
+            timing: the timeouts of the halls' groups, None for the defaults.
+            control_timing: the timeouts of the control log, None for
+                `CONTROL_TIMING`.
         """
         self.identity = identity
         self.peers = PeerTable(clock, identity.node)
@@ -95,16 +102,17 @@
         self._timing = timing or Timing()
         self._control_timing = control_timing or CONTROL_TIMING
         self._actions: list[Action] = []
-        self._local: collections.deque[tuple[str, m.Message]] = (
+        self._local_messages: collections.deque[tuple[str, m.Message]] = (
             collections.deque()
         )
         self._workers: list[WorkerInfo] = []
-        self._applies = Applies(clock)
-        # Apart, so that neither steps over the box that the other needs.
-        self._next_hop = 0
-        self._next_control_hop = 0
-        self._next_beat_ms = 0.0
-        self._next_sync_ms = 0.0
+        self._pending_applies = Applies(clock)
+        # Separate counters, so that requests to one group do not make those to
+        # the other skip a box.
+        self._registry_rotation = 0
+        self._control_rotation = 0
+        self._next_heartbeat_ms = 0.0
+        self._next_slot_sync_ms = 0.0
         self._scheduler: tuple[str, int] = ("", 0)
         self._is_persisting = False
         self._is_stopping = False
@@ -112,7 +120,7 @@
         self._handlers = self._make_handlers()
         self.control = self._make_control(stored)
         self.registries = self._make_registries()
-        self._take_config()
+        self._follow_control_log()
 
     def _make_control(self, stored: Replayed | None) -> Control | None:
         if self.identity.box not in self.identity.control_boxes:
@@ -138,12 +146,12 @@
         for hall in self.identity.halls:
             replicas = hall_replicas(hall, halls)
             if self.identity.box in replicas:
-                is_own = hall == self.identity.hall
-                registries[hall] = self._make_registry(hall, replicas, is_own)
+                is_local = hall == self.identity.hall
+                registries[hall] = self._make_registry(hall, replicas, is_local)
         return registries
 
     def _make_registry(
-        self, hall: str, replicas: tuple[str, ...], is_own: bool
+        self, hall: str, replicas: tuple[str, ...], is_local: bool
     ) -> Registry:
         group = Group(
             HALL_GROUP_PREFIX + hall,
@@ -154,21 +162,21 @@
             self._clock,
             self._rng,
             self._timing,
-            patience=1.0 if is_own else WITNESS_PATIENCE,
+            patience=1.0 if is_local else REMOTE_ELECTION_TIMEOUT_FACTOR,
             may_drop=True,
         )
         return Registry(self._clock, hall, self.identity.halls, group)
 
-    # Questions.
+    # Queries.
 
     @property
     def cfg(self) -> Configuration:
-        """The configuration in force."""
+        """The active configuration."""
         return self.follower.current
 
     @property
     def groups(self) -> list[Group]:
-        """The replicated groups that this box takes part in."""
+        """The replicated groups that this box is a replica of."""
         groups = [registry.group for registry in self.registries.values()]
         if self.control:
             groups.append(self.control.group)
@@ -176,49 +184,84 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the box can serve callers now."""
+        """Whether the box can serve callers now.
+
+        It can once it has a configuration, knows the leader of its hall's
+        claims and, if it replicates them, votes in their opened group.
+        """
         if self._is_stopping or self._has_store_failed:
             return False
         if not self.follower.version:
             return False
-        own = self.registries.get(self.identity.hall)
-        if own and not (own.group.is_voter and own.table.is_open):
+        registry = self.registries.get(self.identity.hall)
+        if registry and not (
+            registry.group.is_voter and registry.table.is_open
+        ):
             return False
         return bool(self._leader(HALL_GROUP_PREFIX + self.identity.hall)[0])
 
     def home_of(self, key: str) -> str:
-        """Returns the home hall of a member's key."""
+        """Returns the hall whose registry holds the claim of a key.
+
+        Args:
+            key: a member's key as `owned_key` returns it.
+        """
         return home_hall(key, self.identity.halls)
 
-    # Events.
+    # Input events.
 
     def submit(self, req: JobRequest, waiter: object) -> Submission | None:
-        """Takes a submission; see `Entry.submit`."""
-        req.refusal = req.refusal or self._why_not(req.service, req.priority)
+        """Accepts or refuses a caller's job; see `Entry.submit`.
+
+        Args:
+            req: the job; its `refusal` is set where the box can't serve it.
+            waiter: the caller's handle, passed on to `Entry.submit`.
+        """
+        req.refusal = req.refusal or self._find_refusal(
+            req.service, req.priority
+        )
         key = owned_key(req.member, req.key)
         return self.entry.submit(key, req, waiter)
 
-    def _why_not(self, service: str, priority: str) -> Problem | None:
+    def _find_refusal(self, service: str, priority: str) -> Problem | None:
+        """Returns why a job can't be served, None if it can."""
         if not self.cfg.version:
             return Problem(Kind.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if service not in self.cfg.services:
-            return Problem(Kind.NOT_FOUND, f"Service {service!r}.")
+            return Problem(
+                Kind.NOT_FOUND, f"The configuration has no service {service!r}."
+            )
         if priority not in self.cfg.classes:
-            return Problem(Kind.NOT_FOUND, f"Class {priority!r}.")
+            return Problem(
+                Kind.NOT_FOUND, f"The configuration has no class {priority!r}."
+            )
         return None
 
     def look_up(self, member: str, key: str, waiter: object) -> None:
-        """Asks for the state or the answer of a member's key."""
+        """Requests the state or the answer of a member's key.
+
+        Args:
+            member: the customer that sent the job.
+            key: the idempotency key of the job.
+            waiter: the caller's handle, passed on to `Entry.look_up`.
+        """
         self.entry.look_up(owned_key(member, key), waiter)
 
     def on_task_end(
         self, grant: int, end: TaskEnd, answer: bytes, took_ms: float
     ) -> None:
-        """Takes the end of a start; see `Entry.on_task_end`."""
+        """Handles the end of an attempt of a task; see `Entry.on_task_end`.
+
+        Args:
+            grant: the number of the slot that the task ran in.
+            end: how the attempt ended.
+            answer: the body of the worker's reply.
+            took_ms: the duration of the attempt.
+        """
         self.entry.on_task_end(grant, end, answer, took_ms)
 
     def on_workers(self, workers: list[WorkerInfo]) -> None:
-        """Takes the platform list of workers."""
+        """Replaces the list of workers that the platform reports."""
         self._workers = workers
         self.entry.set_workers(workers)
         for registry in self.registries.values():
@@ -226,21 +269,23 @@
                 registry.scheduler.set_workers(workers)
 
     def apply(self, cfg: Configuration) -> int:
-        """Hands a checked file to the control log.
+        """Sends a validated configuration to the control log.
 
         Returns:
-            The number under which `Applied` will tell what became of it.
+            The request number that the resulting `Applied` action carries.
         """
-        request = self._applies.add(cfg)
-        self._send_control(request)
+        request = self._pending_applies.add(cfg)
+        self._send_to_control(request)
         return request.request
 
     def on_message(self, node: str, message: m.Message) -> None:
-        """Takes a message of another box.
+        """Handles a message from another box.
+
+        A message from an earlier incarnation of a live peer is dropped.
 
         Args:
-            node: the sender, by the envelope.
-            message: what it sent.
+            node: the sender, as BOX/INCARNATION.
+            message: the decoded message.
         """
         if not self.peers.accepts(node):
             return
@@ -248,7 +293,7 @@
         self._handle(node, message)
 
     def on_peer_closed(self, node: str) -> None:
-        """Learns that the stream from a node ended."""
+        """Handles the end of the stream from a node."""
         self.peers.on_closed(node)
         peer = self.peers.get(box_of(node))
         if peer is None or peer.node != node:
@@ -258,44 +303,49 @@
                 group.consensus.on_closed(box_of(node))
 
     def on_persisted(self, last_index: int) -> None:
-        """Learns that the latest `Persist` was carried out."""
+        """Handles the completion of the pending `Persist` action.
+
+        Args:
+            last_index: the index of the last stored log entry.
+        """
         self._is_persisting = False
         if self.control and self.control.group.consensus:
             self.control.group.consensus.on_persisted(last_index)
 
     def on_store_failed(self) -> None:
-        """Learns that a `Persist` cannot be carried out, now or ever.
+        """Handles the permanent failure of a `Persist` action.
 
-        Nothing of it was confirmed, and nothing after it will be: this box
-        has no voice in the control log until it starts anew.
+        Nothing of the action was acknowledged. No further `Persist` follows,
+        so this box does not vote in the control log until it is restarted.
         """
         self._has_store_failed = True
 
     def announce_stop(self) -> None:
-        """Says that the box is not ready, and goes on serving."""
+        """Announces in heartbeats that the box stops; it still serves."""
         self._is_stopping = True
-        self._next_beat_ms = 0.0
+        self._next_heartbeat_ms = 0.0
 
     def begin_stop(self) -> None:
-        """Takes no new work, and hands leadership on."""
+        """Refuses new work and transfers leadership to other boxes."""
         self.announce_stop()
         self.entry.is_stopping = True
-        self._hand_on()
+        self._transfer_leadership()
 
-    def _hand_on(self) -> None:
+    def _transfer_leadership(self) -> None:
+        """Asks another voter of each group that this box leads to take over."""
         for group in self.groups:
             if group.is_leader:
                 group.consensus.transfer()
 
     @property
     def is_drained(self) -> bool:
-        """Whether a stopping box may end."""
+        """Whether a stopping box may exit without cutting off work."""
         return self.entry.is_idle and not any(
-            map(self._must_hand_on, self.groups)
+            map(self._can_transfer, self.groups)
         )
 
-    def _must_hand_on(self, group: Group) -> bool:
-        """Tells whether this box leads a group that another could lead."""
+    def _can_transfer(self, group: Group) -> bool:
+        """Returns whether this box leads a group that another could lead."""
         if not group.is_leader:
             return False
         return any(
@@ -305,7 +355,10 @@
         )
 
     def tick(self) -> None:
-        """Lets time act; to be called every few tens of ms."""
+        """Runs the periodic work: elections, retries, heartbeats, syncs.
+
+        To be called every few tens of milliseconds.
+        """
         now_ms = self._clock.now_ms()
         if self.control:
             self.control.tick(self.peers)
@@ -316,16 +369,16 @@
                 self.cfg.limits.claim_retention_ms,
             )
         self.entry.tick()
-        self._tick_applies()
+        self._tick_pending_applies()
         if self.entry.is_stopping:
-            self._hand_on()
-        if now_ms >= self._next_beat_ms:
-            self._beat(now_ms)
-        if now_ms >= self._next_sync_ms:
-            self._send_sync()
+            self._transfer_leadership()
+        if now_ms >= self._next_heartbeat_ms:
+            self._send_heartbeats(now_ms)
+        if now_ms >= self._next_slot_sync_ms:
+            self._send_slot_sync()
 
     def take_actions(self) -> list[Action]:
-        """Returns what is to be done now, in order."""
+        """Returns the actions to carry out now, in order, and clears them."""
         self._pump()
         actions = self._actions
         self._actions = []
@@ -334,10 +387,10 @@
     # Messages.
 
     def _make_handlers(self) -> dict[type, Callable[[str, m.Message], None]]:
-        """Returns what each type of message is given to."""
+        """Returns the handler of each message type."""
         entry = self.entry
         return {
-            m.Grouped: self._on_grouped,
+            m.Grouped: self._on_group_message,
             m.Heartbeat: self._on_heartbeat,
             m.ConfigPull: self._on_config_pull,
             m.ConfigPush: self._on_config_push,
@@ -383,15 +436,15 @@
         if registry:
             registry.on_open_reply(reply)
 
-    def _on_grouped(self, node: str, message: m.Grouped) -> None:
+    def _on_group_message(self, node: str, message: m.Grouped) -> None:
         base = base_of(message.body.group)
         for group in self.groups:
             if group.base == base:
                 group.on_message(message)
 
-    def _on_heartbeat(self, node: str, beat: m.Heartbeat) -> None:
-        self.peers.on_heartbeat(node, beat)
-        pull = self.follower.pull_from(beat.config_version)
+    def _on_heartbeat(self, node: str, heartbeat: m.Heartbeat) -> None:
+        self.peers.on_heartbeat(node, heartbeat)
+        pull = self.follower.pull_from(heartbeat.config_version)
         if pull:
             self._send(node, pull)
         self._watch_scheduler()
@@ -403,8 +456,8 @@
         registry = self.registries.get(hall)
         if registry and registry.take(command):
             return
-        # Passed on at most once, so that two boxes that take each other for
-        # the leader do not play with it.
+        # Forwarded at most once, so that two boxes with outdated leaders do
+        # not send a command back and forth.
         leader, _ = self._leader(HALL_GROUP_PREFIX + hall)
         is_first_hop = box_of(node) == box_of(command.owner)
         if leader and leader != self.identity.node and is_first_hop:
@@ -427,10 +480,10 @@
 
     # Heartbeats.
 
-    def _beat(self, now_ms: float) -> None:
-        self._next_beat_ms = now_ms + HEARTBEAT_MS
+    def _send_heartbeats(self, now_ms: float) -> None:
+        self._next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS
         groups = self.groups
-        beat = m.Heartbeat(
+        heartbeat = m.Heartbeat(
             self.identity.hall,
             self.follower.version,
             tuple(g.base for g in groups if g.holds_nothing_live),
@@ -439,32 +492,33 @@
             self._is_stopping,
         )
         for box in beat_targets(self.identity, self.peers, self.registries):
-            self._actions.append(Send(box, beat))
+            self._actions.append(Send(box, heartbeat))
 
     # Configurations.
 
-    def _tick_applies(self) -> None:
-        self._actions += self._applies.expire(self.follower.version)
-        for request in self._applies.due():
-            self._send_control(request)
+    def _tick_pending_applies(self) -> None:
+        self._actions += self._pending_applies.expire(self.follower.version)
+        for request in self._pending_applies.due():
+            self._send_to_control(request)
 
-    def _send_control(self, message: m.Message) -> None:
+    def _send_to_control(self, message: m.Message) -> None:
+        """Sends to the control leader, or to each control box in turn."""
         leader, _ = self._leader(CONTROL_GROUP)
         box = box_of(leader)
         if not leader and self.identity.control_boxes:
             boxes = self.identity.control_boxes
-            self._next_control_hop += 1
-            box = boxes[self._next_control_hop % len(boxes)]
+            self._control_rotation += 1
+            box = boxes[self._control_rotation % len(boxes)]
         if box:
             self._send(box, message)
 
     def _on_apply_reply(self, node: str, reply: m.ApplyReply) -> None:
-        applied = self._applies.on_reply(reply)
+        applied = self._pending_applies.on_reply(reply)
         if applied:
             self._actions.append(applied)
 
-    def _take_config(self) -> None:
-        """Puts in force what the control log at this box has committed."""
+    def _follow_control_log(self) -> None:
+        """Activates the latest configuration in this box's control log."""
         if self.control is None:
             return
         log = self.control.log
@@ -478,6 +532,7 @@
         self._put_in_force()
 
     def _put_in_force(self) -> None:
+        """Passes a newly active configuration to the components."""
         cfg = self.follower.current
         self.entry.set_config(cfg)
         for registry in self.registries.values():
@@ -488,69 +543,72 @@
     # Routing.
 
     def _leader(self, base: str) -> tuple[str, int]:
-        """Returns the node that leads a group, "" if unknown, and its term."""
+        """Returns the leader of a group, "" if unknown, and its term."""
         for group in self.groups:
             if group.base == base and group.consensus and group.leader:
                 return group.leader, group.consensus.term
         return self.peers.leader_of(base)
 
     def _watch_scheduler(self) -> None:
-        """Reports to the hall's scheduler when it is another than before."""
+        """Sends slots and open claims to the hall's leader after a change."""
         scheduler = self._leader(HALL_GROUP_PREFIX + self.identity.hall)
         if scheduler[0] and scheduler != self._scheduler:
             self._scheduler = scheduler
-            self._send_sync()
+            self._send_slot_sync()
             self.entry.resend_claims()
 
-    def _send_sync(self) -> None:
-        self._next_sync_ms = self._clock.now_ms() + SYNC_MS
+    def _send_slot_sync(self) -> None:
+        self._next_slot_sync_ms = self._clock.now_ms() + SLOT_SYNC_INTERVAL_MS
         self._to_scheduler(self.entry.sync_message())
 
     def _to_scheduler(self, message: m.Message) -> None:
+        """Sends to the hall's scheduler; drops the message if none is known."""
         if self._scheduler[0]:
             self._send(self._scheduler[0], message)
 
-    def _to_registry(self, command: m.Message) -> None:
+    def _send_to_registry(self, command: m.Message) -> None:
+        """Sends to the leader of a key's home hall, or to its boxes in turn."""
         hall = self.home_of(command.key)
         leader, _ = self._leader(HALL_GROUP_PREFIX + hall)
         box = box_of(leader)
         if not box:
             boxes = self.identity.boxes_in(hall)
-            self._next_hop += 1
-            box = boxes[self._next_hop % len(boxes)]
+            self._registry_rotation += 1
+            box = boxes[self._registry_rotation % len(boxes)]
         self._send(box, command)
 
     def _send(self, node: str, message: m.Message) -> None:
-        """Sends to a node or box, or to this box itself."""
+        """Queues a message for a node or box, which may be this box."""
         box = box_of(node)
         if box == self.identity.box:
-            self._local.append((self.identity.node, message))
+            self._local_messages.append((self.identity.node, message))
         else:
             self._actions.append(Send(box, message))
 
-    # The pump.
+    # Message processing within the box.
 
     def _pump(self) -> None:
-        """Carries decisions between the parts of the box until all rest."""
+        """Exchanges messages between the components until none is left."""
         while True:
-            while self._local:
-                node, message = self._local.popleft()
+            while self._local_messages:
+                node, message = self._local_messages.popleft()
                 self._handle(node, message)
-            self._route_entry()
+            self._route_entry_actions()
             self._run_control()
             for registry in self.registries.values():
                 self._run_registry(registry)
             self._watch_scheduler()
-            if not self._local and not self.entry.actions:
+            if not self._local_messages and not self.entry.actions:
                 return
 
-    def _route_entry(self) -> None:
+    def _route_entry_actions(self) -> None:
+        """Sends the entry's messages and keeps its other actions."""
         actions = self.entry.actions
         self.entry.actions = []
         for action in actions:
             match action:
                 case ToRegistry(message=message):
-                    self._to_registry(message)
+                    self._send_to_registry(message)
                 case ToScheduler(message=message):
                     self._to_scheduler(message)
                 case ToNode(node=node, message=message):
@@ -559,21 +617,26 @@
                     self._actions.append(action)
 
     def _run_control(self) -> None:
+        """Emits the control log's records, replies and configuration.
+
+        Only one `Persist` is pending at a time.
+        """
         if self.control is None:
             return
         if not self._is_persisting:
             ready = self.control.group.take_ready()
             if ready:
                 self._is_persisting = True
-                grouped = self.control.group.address(ready.messages)
+                messages = self.control.group.address(ready.messages)
                 self._actions.append(
-                    Persist(ready.records, grouped, ready.last_index)
+                    Persist(ready.records, messages, ready.last_index)
                 )
         self.control.collect_results()
-        self._take_config()
-        self._empty(self.control.outbox)
+        self._follow_control_log()
+        self._send_all(self.control.outbox)
 
     def _run_registry(self, registry: Registry) -> None:
+        """Emits a registry's messages; its log is kept in memory only."""
         registry.flush()
         group = registry.group
         while ready := group.take_ready():
@@ -583,14 +646,14 @@
                 group.consensus.on_persisted(ready.last_index)
         registry.collect_results()
         if registry.opening:
-            self._send_control(registry.opening)
+            self._send_to_control(registry.opening)
             registry.opening = None
         if registry.keep_scheduler(self.cfg, self._workers):
-            self._next_beat_ms = 0.0
+            self._next_heartbeat_ms = 0.0
         registry.assign()
-        self._empty(registry.outbox)
+        self._send_all(registry.outbox)
 
-    def _empty(self, outbox: list[tuple[str, m.Message]]) -> None:
+    def _send_all(self, outbox: list[tuple[str, m.Message]]) -> None:
         for node, message in outbox:
             self._send(node, message)
         outbox.clear()
--- a/packages/box/src/clayfield/box/registry.py
+++ b/packages/box/src/clayfield/box/registry.py
@@ -1,7 +1,8 @@
-"""A node's part in the claims of one hall, and its scheduler when it leads.
+"""One replica of a hall's claims, and the hall's scheduler on their leader.
 
-The leader of a hall's claims also schedules the hall's workers: a claim and
-the request for slots then take the same way, and one lease covers both.
+A claim is the record that an owner runs an idempotency key. The leader of a
+hall's claims also schedules the hall's workers, so that claims and requests
+for slots go to the same node and one lease covers both.
 """
 
 from clayfield.base import Clock, Kind, Problem, Ran
@@ -29,27 +30,39 @@
     Unclaim,
 )
 
-ADVANCE_MS = 500.0
+ADVANCE_INTERVAL_MS = 500.0
 OPEN_RESEND_MS = 500.0
-SYNC_WAIT_MS = 300.0
+# A new scheduler grants nothing until all live boxes have sent their slots, or
+# this time has passed.
+SLOT_SYNC_TIMEOUT_MS = 300.0
+# Size of the range of grant numbers of each term; keeps them unique.
 GRANTS_PER_TERM = 1 << 32
-ANSWERED = (Claim, Lookup, Complete, Unclaim)
+COMMANDS_WITH_REPLY = (Claim, Lookup, Complete, Unclaim)
 
 
 class Registry:
-    """The claims of one hall at one node.
+    """One node's replica of the claims of a hall.
 
     Attributes:
-        hall: whose claims.
-        group: the node's part in the replicated group.
+        hall: name of the hall.
+        group: this node's member of the replicated group.
         scheduler: the hall's scheduler while this node leads, else None.
         outbox: (node, message) pairs to send; the caller empties it.
-        opening: a request that control is to record, None for none.
+        opening: request to the control log to record that the hall's claims
+            start, None if there is none to send.
     """
 
     def __init__(
         self, clock: Clock, hall: str, halls: tuple[str, ...], group: Group
     ):
+        """Creates a replica that is not the leader.
+
+        Args:
+            clock: the source of time.
+            hall: name of the hall.
+            halls: names of all halls, sorted.
+            group: this node's member of the replicated group.
+        """
         self.hall = hall
         self._halls = halls
         self.group = group
@@ -60,40 +73,44 @@
         self._batch: list[ClaimCommand] = []
         self._pending: dict[tuple[int, int], list[ClaimCommand]] = {}
         self._scheduler_term = 0
-        self._silent_until_ms = 0.0
-        self._synced: set[str] = set()
+        self._sync_deadline_ms = 0.0
+        self._synced_boxes: set[str] = set()
         self._advanced_ms = clock.now_ms()
-        self._open_asked_ms = -OPEN_RESEND_MS
+        self._open_requested_ms = -OPEN_RESEND_MS
 
     @property
     def table(self) -> ClaimTable:
-        """The claims as far as this node knows them."""
+        """This node's copy of the claims."""
         return self.group.machine
 
     @property
     def leads(self) -> bool:
-        """Whether this node takes claims now."""
+        """Whether this node leads the group and the table is open."""
         return self.group.is_leader and self.table.is_open
 
     def take(self, command: ClaimCommand) -> bool:
-        """Takes a command; False when this node does not lead."""
+        """Queues a command for the next log entry.
+
+        Returns:
+            False if this node does not lead; the command is then dropped.
+        """
         if not self.leads:
             return False
         self._batch.append(command)
         return True
 
     def flush(self) -> None:
-        """Proposes the commands taken since the last time, as one entry."""
+        """Proposes the queued commands as one log entry."""
         if not self._batch:
             return
         batch = self._batch
         self._batch = []
-        place = self.group.consensus.propose(encode_commands(batch))
-        if place:
-            self._pending[place] = batch
+        position = self.group.consensus.propose(encode_commands(batch))
+        if position:
+            self._pending[position] = batch
 
     def collect_results(self) -> None:
-        """Turns the results of committed commands into replies."""
+        """Adds the replies to committed commands to the outbox."""
         if self.group.consensus is None:
             return
         for index, term, replies in self.group.consensus.take_results():
@@ -107,29 +124,30 @@
         self, commands: list[ClaimCommand], replies: list[ClaimReply | None]
     ) -> None:
         for command, reply in zip(commands, replies, strict=True):
-            if reply is not None and isinstance(command, ANSWERED):
+            if reply is not None and isinstance(command, COMMANDS_WITH_REPLY):
                 self.outbox.append((command.owner, reply))
 
     # Opening.
 
     def on_open_reply(self, reply: OpenReply) -> None:
-        """Opens the table once control has recorded it."""
+        """Proposes to open the table once the control log has recorded it."""
         consensus = self.group.consensus
         if self.table.is_open or consensus is None or not consensus.is_leader:
             return
         if reply.instance == consensus.group:
             consensus.propose(encode_commands([Open(reply.count)]))
 
-    def _ask_to_open(self) -> None:
+    def _request_open(self) -> None:
+        """Sets the open request, at intervals, once all replicas vote."""
         now_ms = self._clock.now_ms()
         consensus = self.group.consensus
         if not (consensus and consensus.is_settled and self.group.is_whole):
             return
-        if now_ms - self._open_asked_ms >= OPEN_RESEND_MS:
-            self._open_asked_ms = now_ms
+        if now_ms - self._open_requested_ms >= OPEN_RESEND_MS:
+            self._open_requested_ms = now_ms
             self.opening = OpenRequest(self.hall, consensus.group, self._halls)
 
-    # Time.
+    # Periodic work.
 
     def tick(
         self,
@@ -137,21 +155,21 @@
         hall_boxes: tuple[str, ...],
         retention_ms: float,
     ) -> None:
-        """Lets time act.
+        """Runs the periodic work: opening, expiry and lost owners.
 
         Args:
-            peers: the live peers.
+            peers: the last heartbeat of each peer.
             hall_boxes: the boxes that use the hall's workers.
-            retention_ms: how long outcomes are kept.
+            retention_ms: how long outcomes are kept, in ms.
         """
         self.group.tick(peers)
         if not self.table.is_open:
-            self._ask_to_open()
+            self._request_open()
         now_ms = self._clock.now_ms()
         if not self.leads:
             self._advanced_ms = now_ms
             return
-        if now_ms - self._advanced_ms >= ADVANCE_MS:
+        if now_ms - self._advanced_ms >= ADVANCE_INTERVAL_MS:
             self._batch.append(
                 Advance(now_ms - self._advanced_ms, retention_ms)
             )
@@ -161,21 +179,26 @@
             self._tick_scheduler(peers, hall_boxes)
 
     def _end_lost_claims(self, peers: PeerTable) -> None:
+        """Ends the open claims of owners that have restarted."""
         for owner in self.table.owners:
             if peers.is_superseded(owner):
                 problem = Problem(Kind.OWNER_LOST, "It restarted.", Ran.MAYBE)
                 outcome = render_problem(problem)
                 self._batch.append(OwnerLost(owner, outcome))
 
-    # The scheduler.
+    # Scheduling.
 
     def keep_scheduler(
         self, cfg: Configuration, workers: list[WorkerInfo]
     ) -> bool:
-        """Starts or drops the scheduler as this node leads or not.
+        """Creates the scheduler when this node becomes leader, else drops it.
+
+        Args:
+            cfg: the active configuration.
+            workers: the platform list of workers.
 
         Returns:
-            Whether one was started just now.
+            Whether a scheduler was created by this call.
         """
         consensus = self.group.consensus
         if consensus is None or not consensus.is_leader:
@@ -189,21 +212,25 @@
             self._clock, self.hall, consensus.term * GRANTS_PER_TERM, cfg
         )
         self.scheduler.set_workers(workers)
-        self._silent_until_ms = self._clock.now_ms() + SYNC_WAIT_MS
-        self._synced = set()
+        self._sync_deadline_ms = self._clock.now_ms() + SLOT_SYNC_TIMEOUT_MS
+        self._synced_boxes = set()
         return True
 
     def on_sync(self, node: str, sync: SlotSync) -> None:
-        """Takes what a box holds."""
-        self._synced.add(box_of(node))
+        """Handles a box's report of its slots and queued requests."""
+        self._synced_boxes.add(box_of(node))
         self.scheduler.on_sync(node, sync)
 
     def assign(self) -> None:
-        """Grants what can be granted, while the lease holds."""
+        """Grants free slots to queued requests while this node leads.
+
+        Nothing is granted while a new scheduler waits for the slots that boxes
+        already hold.
+        """
         if self.scheduler is None:
             return
-        is_waiting = self._clock.now_ms() < self._silent_until_ms
-        if self.leads and not is_waiting:
+        is_syncing = self._clock.now_ms() < self._sync_deadline_ms
+        if self.leads and not is_syncing:
             self.scheduler.assign()
         self.outbox.extend(self.scheduler.outbox)
         self.scheduler.outbox.clear()
@@ -212,13 +239,13 @@
         self, peers: PeerTable, hall_boxes: tuple[str, ...]
     ) -> None:
         live = {box for box in hall_boxes if peers.is_live(box)}
-        if self._synced >= live:
-            self._silent_until_ms = 0.0
+        if self._synced_boxes >= live:
+            self._sync_deadline_ms = 0.0
         self.scheduler.tick()
         for node in sorted(self.scheduler.nodes()):
             box = box_of(node)
-            is_gone = peers.is_superseded(node) or (
+            is_lost = peers.is_superseded(node) or (
                 box != box_of(self.group.node) and not peers.is_live(box)
             )
-            if is_gone:
+            if is_lost:
                 self.scheduler.on_node_lost(node)
