--- a/packages/box/src/clayfield/box/__init__.py
+++ b/packages/box/src/clayfield/box/__init__.py
@@ -1,4 +1,4 @@
-"""One box as a pure state machine."""
+"""One box of the system as a state machine without I/O."""
 
 from clayfield.box.actions import Applied, InForce, Persist, Send
 from clayfield.box.core import BoxCore
--- a/packages/box/src/clayfield/box/actions.py
+++ b/packages/box/src/clayfield/box/actions.py
@@ -1,4 +1,7 @@
-"""What a box wants done by its runtime, beside the entry's actions."""
+"""Actions that the runtime of a box carries out.
+
+They add to the actions of `clayfield.dispatch`.
+"""
 
 from clayfield.dispatch import Action
 from clayfield.state import Record
@@ -6,7 +9,12 @@
 
 
 class Send(Action):
-    """Send a message to a box."""
+    """Send a message to a box.
+
+    Attributes:
+        box: name of the receiver.
+        message: the message.
+    """
 
     __slots__ = ("box", "message")
 
@@ -16,7 +24,15 @@
 
 
 class Persist(Action):
-    """Store records, sync, send the messages, then call `on_persisted`."""
+    """Store records, sync them, send messages and report back.
+
+    The runtime reports with `BoxCore.on_persisted`, or `on_store_failed`.
+
+    Attributes:
+        records: the records to append to the data folder.
+        messages: the messages to send once the records are synced.
+        last_index: the argument of `on_persisted`.
+    """
 
     __slots__ = ("last_index", "messages", "records")
 
@@ -29,7 +45,11 @@
 
 
 class InForce(Action):
-    """A configuration came into force at this box."""
+    """Report that a configuration became active at this box.
+
+    Attributes:
+        version: version of the configuration.
+    """
 
     __slots__ = ("version",)
 
@@ -38,13 +58,14 @@
 
 
 class Applied(Action):
-    """Tell an operator what became of a file.
+    """Report the result of applying a configuration to its operator.
 
     Attributes:
-        request: the number that `BoxCore.apply` gave.
-        version: the version it became, or the one in force.
-        code: empty when accepted, else the error's code.
-        detail: the particulars.
+        request: the number that `BoxCore.apply` returned.
+        version: version of the new configuration if it was accepted, else of
+            the active one.
+        code: code of the error, empty when accepted.
+        detail: explanation for a person.
     """
 
     __slots__ = ("code", "detail", "request", "version")
--- a/packages/box/src/clayfield/box/applies.py
+++ b/packages/box/src/clayfield/box/applies.py
@@ -1,4 +1,4 @@
-"""Files that operators handed to this box, until their fate is known."""
+"""Configurations that operators submitted here and that await a result."""
 
 from clayfield.base import Clock, Kind
 from clayfield.box.actions import Applied
@@ -11,41 +11,50 @@
 
 
 class Applies:
-    """The files under way, by number."""
+    """Apply requests without a reply yet, by request number."""
 
-    __slots__ = ("_asked", "_clock", "_number")
+    __slots__ = ("_clock", "_number", "_requests")
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._number = 0
-        self._asked: Outstanding[int, ApplyRequest] = Outstanding(RESEND_MS)
+        self._requests: Outstanding[int, ApplyRequest] = Outstanding(RESEND_MS)
 
     def add(self, cfg: Configuration) -> ApplyRequest:
-        """Takes a checked file; returns what to send to the control log."""
+        """Adds a validated configuration.
+
+        Returns:
+            The request to send to the leader of the control log.
+        """
         self._number += 1
         request = ApplyRequest(self._number, cfg.replaces, to_bytes(cfg))
-        self._asked.add(self._number, request, self._clock.now_ms())
+        self._requests.add(self._number, request, self._clock.now_ms())
         return request
 
     def on_reply(self, reply: ApplyReply) -> Applied | None:
-        """Returns what to tell the operator; each is told once."""
-        if self._asked.pop(reply.request) is None:
+        """Returns the result of a request, None if it was returned before."""
+        if self._requests.pop(reply.request) is None:
             return None
         return Applied(reply.request, reply.version, reply.code, reply.detail)
 
     def due(self) -> list[ApplyRequest]:
-        """Returns what to send again now."""
-        return self._asked.due(self._clock.now_ms())
+        """Returns the requests to send again now."""
+        return self._requests.due(self._clock.now_ms())
 
     def expire(self, version: int) -> list[Applied]:
-        """Returns what to tell operators whose files nobody took.
+        """Removes the requests that timed out and returns their results.
 
         Args:
-            version: the version in force.
+            version: version of the active configuration.
         """
         code = Kind.NO_CONTROL.code
-        late = self._asked.expire(self._clock.now_ms(), TIMEOUT_MS)
+        expired = self._requests.expire(self._clock.now_ms(), TIMEOUT_MS)
         return [
-            Applied(number, version, code, "No leader answered.")
-            for number, _ in late
+            Applied(
+                number,
+                version,
+                code,
+                "No leader of the control log replied in time.",
+            )
+            for number, _ in expired
         ]
--- a/packages/box/src/clayfield/box/control.py
+++ b/packages/box/src/clayfield/box/control.py
@@ -1,4 +1,4 @@
-"""A node's part in the control log."""
+"""One replica of the control log, the log of accepted configurations."""
 
 from clayfield.config import from_bytes
 from clayfield.state import ApplyResult, ConfigLog
@@ -15,10 +15,10 @@
 
 
 class Control:
-    """The control log at one box with a data folder.
+    """The control log's replica at a box with a data folder.
 
     Attributes:
-        group: the node's part in the replicated group.
+        group: this node's member of the replicated group.
         outbox: (node, message) pairs to send; the caller empties it.
     """
 
@@ -31,19 +31,25 @@
 
     @property
     def log(self) -> ConfigLog:
-        """The configurations as far as this node knows them."""
+        """This node's copy of the accepted configurations."""
         return self.group.machine
 
     @property
     def leads(self) -> bool:
-        """Whether this node takes files now."""
+        """Whether this node can accept configurations now."""
         consensus = self.group.consensus
         return (
             self.group.is_leader and consensus.is_settled and self.log.is_open
         )
 
     def take(self, node: str, request: ApplyRequest | OpenRequest) -> bool:
-        """Takes a request of a box; False when this node does not lead."""
+        """Handles a box's request to apply a configuration or open a hall.
+
+        The reply follows at once, or once the command is committed.
+
+        Returns:
+            False if this node does not lead; the request is then dropped.
+        """
         if not self.leads:
             return False
         if isinstance(request, OpenRequest):
@@ -55,20 +61,20 @@
         if isinstance(command, ApplyResult):
             self._reply(node, request, command)
             return True
-        place = self.group.consensus.propose(command)
-        if place:
-            self._pending[place] = (node, request)
+        position = self.group.consensus.propose(command)
+        if position:
+            self._pending[position] = (node, request)
         return True
 
     def collect_results(self) -> None:
-        """Turns the results of committed commands into replies."""
+        """Adds the replies to committed commands to the outbox."""
         consensus = self.group.consensus
         if consensus is None:
             return
         for index, term, result in consensus.take_results():
-            asked = self._pending.pop((index, term), None)
-            if asked:
-                self._reply(asked[0], asked[1], result)
+            pending = self._pending.pop((index, term), None)
+            if pending:
+                self._reply(pending[0], pending[1], result)
         if not consensus.is_leader:
             self._pending.clear()
 
@@ -87,7 +93,10 @@
         self.outbox.append((node, reply))
 
     def tick(self, peers: PeerTable) -> None:
-        """Lets time act; opens the log when all its first voters are in."""
+        """Runs the periodic work: elections and the opening of a new log.
+
+        The log opens once every configured box votes.
+        """
         self.group.tick(peers)
         consensus = self.group.consensus
         if consensus is None or self.log.is_open:
--- a/packages/box/src/clayfield/box/follower.py
+++ b/packages/box/src/clayfield/box/follower.py
@@ -1,4 +1,7 @@
-"""Keeps the configuration in force at one box; it never goes back."""
+"""The active configuration of one box, kept up to date from its peers.
+
+Its version never decreases.
+"""
 
 from clayfield.base import Clock
 from clayfield.config import (
@@ -12,39 +15,54 @@
 
 RECENT_DELTAS = 256
 MAX_PUSH_BYTES = 1 << 20
-PULL_MS = 200.0
+PULL_INTERVAL_MS = 200.0
 
 
 class ConfigFollower:
-    """The configuration in force at a box.
+    """The active configuration and the latest deltas that led to it.
 
     Attributes:
-        current: it.
+        current: the active configuration, `EMPTY` before the first.
     """
 
-    __slots__ = ("_clock", "_deltas", "_pulled_ms", "current")
+    __slots__ = ("_clock", "_deltas", "_last_pull_ms", "current")
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self.current: Configuration = EMPTY
         self._deltas: list[bytes] = []
-        self._pulled_ms = -PULL_MS
+        self._last_pull_ms = -PULL_INTERVAL_MS
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """Version of the active configuration, 0 before the first."""
         return self.current.version
 
     def pull_from(self, peer_version: int) -> ConfigPull | None:
-        """Returns what to ask a peer that has a version, None for nothing."""
+        """Returns the request for the changes that a peer has.
+
+        Args:
+            peer_version: the version active at the peer.
+
+        Returns:
+            None if the peer has no later version, or if a request was made
+            less than `PULL_INTERVAL_MS` ago.
+        """
         now_ms = self._clock.now_ms()
-        if peer_version <= self.version or now_ms - self._pulled_ms < PULL_MS:
+        if (
+            peer_version <= self.version
+            or now_ms - self._last_pull_ms < PULL_INTERVAL_MS
+        ):
             return None
-        self._pulled_ms = now_ms
+        self._last_pull_ms = now_ms
         return ConfigPull(self.version)
 
     def on_pull(self, pull: ConfigPull) -> ConfigPush | None:
-        """Returns what a peer lacks, None if it lacks nothing."""
+        """Returns the changes that a peer lacks.
+
+        They are deltas where these are still held and small enough, else the
+        whole configuration; None if the peer lacks nothing.
+        """
         missed = self.version - pull.version
         if missed <= 0:
             return None
@@ -56,7 +74,7 @@
         return ConfigPush(-1, [], whole, self.version)
 
     def on_push(self, push: ConfigPush) -> bool:
-        """Takes what a peer sent; True when the version in force rose."""
+        """Applies a peer's reply; returns whether the version rose."""
         if push.version <= self.version:
             return False
         if push.whole:
@@ -65,23 +83,27 @@
         if skip < 0:
             return False
         for delta in push.deltas[skip:]:
-            self._put_in_force(delta)
+            self._apply_delta(delta)
         return True
 
-    def take_whole(self, wanted: Configuration) -> bool:
-        """Takes a whole configuration; True when it is a later one."""
-        if wanted.version <= self.version:
+    def take_whole(self, cfg: Configuration) -> bool:
+        """Activates a whole configuration if its version is later.
+
+        Returns:
+            Whether it was activated.
+        """
+        if cfg.version <= self.version:
             return False
-        self.current = wanted
+        self.current = cfg
         self._deltas.clear()
         return True
 
     def take_deltas(self, deltas: list[bytes]) -> None:
-        """Takes the changes that follow the version in force."""
+        """Applies deltas, of which the first follows the active version."""
         for delta in deltas:
-            self._put_in_force(delta)
+            self._apply_delta(delta)
 
-    def _put_in_force(self, delta: bytes) -> None:
+    def _apply_delta(self, delta: bytes) -> None:
         self.current = patch(self.current, delta)
         self._deltas.append(delta)
         del self._deltas[:-RECENT_DELTAS]
--- a/packages/box/src/clayfield/box/identity.py
+++ b/packages/box/src/clayfield/box/identity.py
@@ -1,15 +1,15 @@
-"""Who a box is, and whom it knows from its settings."""
+"""Names and addresses of a box and of its peers, from the settings."""
 
 from clayfield.state.membership import node_name
 
 
 class PeerAddress:
-    """A box named in the settings.
+    """A box listed in the settings.
 
     Attributes:
-        hall: where it stands.
-        address: `IP:PORT` for its peers.
-        is_control: whether it has a data folder and votes on configurations.
+        hall: name of its hall.
+        address: `IP:PORT` at which its peers connect.
+        is_control: whether it has a data folder and votes in the control log.
     """
 
     __slots__ = ("address", "hall", "is_control")
@@ -21,17 +21,18 @@
 
 
 class Identity:
-    """A box and its cluster.
+    """A box, its process and the boxes of its cluster.
 
     Attributes:
-        box: the box's name.
-        hall: its hall.
-        incarnation: higher at every start of the process.
-        disk: when its data folder was made; 0 without one.
+        box: name of the box.
+        hall: name of its hall.
+        incarnation: number of this start of the process; higher at each start.
+        disk: creation time of the data folder, in ns since 1970; identifies
+            the folder. 0 without one.
         boxes: all boxes by name, this one included.
-        node: this process as a node.
-        halls: the names of all halls, sorted.
-        control_boxes: the boxes that vote on configurations, sorted.
+        node: name of this process, BOX/INCARNATION.
+        halls: names of all halls, sorted.
+        control_boxes: names of the boxes that vote in the control log, sorted.
     """
 
     __slots__ = (
@@ -70,14 +71,14 @@
 
     @property
     def control_node(self) -> str:
-        """This box's data folder as a node of the control log."""
+        """Name of this box's data folder as a node of the control log."""
         return node_name(self.box, self.disk)
 
     def hall_of(self, box: str) -> str:
-        """Returns the hall of a box, "" if it is not known."""
+        """Returns the hall of a box, "" if the box is not configured."""
         peer = self.boxes.get(box)
         return peer.hall if peer else ""
 
     def boxes_in(self, hall: str) -> tuple[str, ...]:
-        """Returns the boxes of a hall, sorted."""
+        """Returns the names of the boxes of a hall, sorted."""
         return self._boxes_in.get(hall, ())
--- a/packages/box/src/clayfield/box/targets.py
+++ b/packages/box/src/clayfield/box/targets.py
@@ -1,8 +1,8 @@
-"""Which boxes must hear this one's heartbeats.
+"""Selects the boxes to which a box sends its heartbeats.
 
-These are the boxes of its hall and of its groups; and from the first live box
-of each hall the control boxes, and back, so that configurations spread from
-hall to hall without every box talking to every other.
+These are the boxes of its hall and of the groups that it replicates. The first
+live box of each hall also exchanges heartbeats with the control boxes, so that
+configurations reach every hall without a connection between all boxes.
 """
 
 from collections.abc import Iterable
@@ -18,9 +18,9 @@
     """Returns the boxes to send heartbeats to, sorted.
 
     Args:
-        identity: this box.
-        peers: what it knows of the others.
-        halls: those whose claims it replicates.
+        identity: this box and its cluster.
+        peers: the last heartbeat of each peer.
+        halls: names of the halls whose claims this box replicates.
     """
     hall_of = {name: peer.hall for name, peer in identity.boxes.items()}
     targets = set(identity.boxes_in(identity.hall))
@@ -34,14 +34,14 @@
     ):
         targets.update(identity.control_boxes)
     if is_control:
-        firsts = (_first_live(identity, peers, h) for h in identity.halls)
-        targets.update(firsts)
+        first_live = (_first_live(identity, peers, h) for h in identity.halls)
+        targets.update(first_live)
     targets.discard(identity.box)
     return sorted(targets)
 
 
 def _first_live(identity: Identity, peers: PeerTable, hall: str) -> str:
-    """Returns the first live box of a hall, or just the first if none is."""
+    """Returns the first live box of a hall, or its first box if none is."""
     boxes = identity.boxes_in(hall)
     for box in boxes:
         if box == identity.box or peers.is_live(box):
