--- a/packages/wire/src/clayfield/wire/cluster.py
+++ b/packages/wire/src/clayfield/wire/cluster.py
@@ -1,4 +1,7 @@
-"""The messages between control nodes and entries, and their codec."""
+"""Messages between control nodes and entry nodes, and their codec.
+
+Entry nodes serve callers; control nodes vote in the replicated control log.
+"""
 
 import msgspec
 
@@ -17,13 +20,14 @@
 
 
 class NodeGreeting(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame in each direction of a stream: who speaks.
+    """The first frame in each direction of a stream; identifies the sender.
 
     Attributes:
-        cluster: the name that all nodes of a cluster share.
-        node: ADDRESS/INCARNATION; the address is where its peers connect.
+        cluster: name shared by all nodes of a cluster.
+        node: ADDRESS/INCARNATION of the sender; peers connect to the address,
+            and each start of the process has another incarnation.
         role: "entry" or "control".
-        hall: where it stands.
+        hall: name of the sender's hall (zone).
     """
 
     cluster: str
@@ -33,27 +37,38 @@
 
 
 class ControlNodes(Message, frozen=True, tag=True):
-    """Names the addresses of the control nodes that the sender knows."""
+    """Lists the control nodes.
+
+    Attributes:
+        addresses: addresses of the control nodes as far as the sender has
+            them.
+    """
 
     addresses: tuple[str, ...]
 
 
 class ConfigPush(Message, frozen=True, tag=True):
-    """Brings the configuration in force, as the operator wrote it."""
+    """Carries the active configuration.
+
+    Attributes:
+        version: version of the configuration.
+        document: the document as the operator wrote it.
+    """
 
     version: int
     document: bytes
 
 
 class Grant(Message, frozen=True, tag=True):
-    """Says who holds the workers.
+    """Announces which entry node schedules the workers.
 
     Attributes:
-        epoch: rises with every grant; the fence of the holder's orders is
-            derived from it.
-        holder: the node that holds all workers.
-        standbys: by hall the node that may hold that hall's workers while it
-            is cut off from the holder and from the control nodes elsewhere.
+        epoch: number of the grant; rises with each. The fencing token in the
+            holder's requests to workers is derived from it.
+        holder: the node that schedules all workers.
+        standbys: by hall, the node that schedules that hall's workers while
+            the hall is partitioned from the holder and from the control nodes
+            of other halls.
     """
 
     epoch: int
@@ -62,27 +77,36 @@
 
 
 class WorkersPush(Message, frozen=True, tag=True):
-    """Brings statements of workers."""
+    """Carries heartbeats of workers.
+
+    Attributes:
+        workers: the heartbeats.
+    """
 
     workers: tuple[WorkerInfo, ...]
 
 
 class WorkerLeft(Message, frozen=True, tag=True):
-    """Says that a worker has taken its leave."""
+    """Announces that a worker is removed.
+
+    Attributes:
+        name: name of the worker's incarnation.
+    """
 
     name: str
 
 
 class EntryStatus(Message, frozen=True, tag=True):
-    """An entry's heartbeat to the control nodes.
+    """An entry node's heartbeat to the control nodes.
 
     Attributes:
-        config_version: of the configuration that it has in force.
-        epoch: of the latest grant that it knows.
-        is_stopping: whether it should hold nothing any more.
-        needs_epoch: whether the holder should get a higher fence: workers obey
-            a stand-by's, and the hall of that is not cut off any more.
-        sent_ms: when it was sent, on the entry's clock.
+        config_version: version of its active configuration.
+        epoch: epoch of the latest grant that it received.
+        is_stopping: whether it stops and should not be the holder.
+        needs_epoch: whether the holder needs a grant with a higher epoch. This
+            is so when a hall is no longer partitioned and its workers still
+            have the higher fencing token of the hall's standby.
+        sent_ms: time of sending, on the sender's clock.
     """
 
     config_version: int
@@ -93,13 +117,13 @@
 
 
 class SubmitJob(Message, frozen=True, tag=True):
-    """Hands a job to the holder.
+    """Passes a job to the holder.
 
     Attributes:
         job: the job.
-        age_ms: how long ago it arrived at the entry.
-        epoch: of the grant that the entry acts on.
-        was_sent: whether an earlier holder may have begun it.
+        age_ms: time since its arrival at the entry node, in ms.
+        epoch: epoch of the latest grant that the sender received.
+        was_sent: whether an earlier holder may have started it.
     """
 
     job: Job
@@ -109,11 +133,11 @@
 
 
 class CancelJob(Message, frozen=True, tag=True):
-    """Asks the holder to end a job; answered by `JobCancelled`.
+    """Requests that the holder cancel a job; answered by `JobCancelled`.
 
     Attributes:
-        request: echoed in the answer, 0 where none is wanted.
-        key: the job.
+        request: number of the request, echoed in the reply; 0 for no reply.
+        key: key of the job.
     """
 
     request: int
@@ -121,26 +145,37 @@
 
 
 class JobCancelled(Message, frozen=True, tag=True):
-    """Says whether the holder knew the job; None where it can't be sure."""
+    """Answers `CancelJob`.
+
+    Attributes:
+        request: number of the request.
+        is_known: whether the job exists; None if the holder cannot decide.
+    """
 
     request: int
     is_known: bool | None
 
 
 class AskState(Message, frozen=True, tag=True):
-    """Asks the holder where a kept job stands; answered by `StateTold`."""
+    """Requests the state of a kept job; answered by `StateTold`.
+
+    Attributes:
+        request: number of the request, echoed in the reply.
+        key: key of the job.
+    """
 
     request: int
     key: str
 
 
 class StateTold(Message, frozen=True, tag=True):
-    """Says where a kept job stands.
+    """Answers `AskState`.
 
     Attributes:
-        request: echoed.
-        state: None where there is no such job.
-        is_sure: whether the holder can tell.
+        request: number of the request.
+        state: state of the job, None if there is no such job.
+        is_sure: whether the answer is authoritative; if not, a state of None
+            does not mean that the job does not exist.
     """
 
     request: int
@@ -149,19 +184,24 @@
 
 
 class QueueCounts(Message, frozen=True, tag=True):
-    """Tells every entry how many kept jobs wait, by queue."""
+    """Carries the numbers of queued kept jobs to every entry node.
+
+    Attributes:
+        waiting: number of kept jobs that have not started, by queue.
+    """
 
     waiting: dict[str, int]
 
 
 class JobEnded(Message, frozen=True, tag=True):
-    """Says how a job ended.
+    """Announces the result of a job.
 
     Attributes:
-        key: the job.
-        verdict: how.
-        reason: why it was refused or abandoned.
-        retry_after_ms: when to come back, 0 where that does not help.
+        key: key of the job.
+        verdict: the result.
+        reason: the reason for which it was refused or abandoned.
+        retry_after_ms: time after which to retry, in ms; 0 if a retry does not
+            help.
     """
 
     key: str
@@ -198,7 +238,7 @@
 
 
 def encode_batch(batch: list[Message]) -> bytes:
-    """Returns messages as one frame."""
+    """Returns messages encoded as one frame."""
     return _encoder.encode(batch)
 
 
@@ -206,7 +246,7 @@
     """Returns the messages of a frame.
 
     Raises:
-        ClayfieldError: of kind BAD_FRAME; nothing of the frame is used.
+        ClayfieldError: of kind BAD_FRAME, if the frame is not valid as a whole.
     """
     try:
         return _decoder.decode(data)
@@ -215,7 +255,7 @@
 
 
 def encode_node_greeting(greeting: NodeGreeting) -> bytes:
-    """Returns a greeting as a frame."""
+    """Returns a greeting encoded as one frame."""
     return _encoder.encode(greeting)
 
 
@@ -223,7 +263,7 @@
     """Returns the greeting in a stream's first frame.
 
     Raises:
-        ClayfieldError: of kind BAD_FRAME, when it is none.
+        ClayfieldError: of kind BAD_FRAME, if the frame is not a greeting.
     """
     try:
         return _greeting_decoder.decode(data)
--- a/packages/wire/src/clayfield/wire/jobs.py
+++ b/packages/wire/src/clayfield/wire/jobs.py
@@ -1,36 +1,41 @@
-"""Jobs of steps, workers and routes, as nodes tell them to one another."""
+"""Data types of jobs, workers and routes that nodes exchange and store.
+
+A job consists of steps, and each step of equal tasks. A job with a schedule
+runs its steps several times; each repetition is called an iteration.
+"""
 
 import enum
 
 import msgspec
 
-# The most tasks that a job may have, over all its steps and times.
+# Most tasks of a job, over all its steps and iterations.
 MAX_TASKS = 20_000
 
 
 class Step(msgspec.Struct, frozen=True, array_like=True):
-    """Tasks of one kind within a job.
+    """A number of equal tasks within a job.
 
     Attributes:
-        count: how many tasks.
-        cpu: thousandths of a core for each.
-        memory_mb: memory for each.
-        gpu: accelerators for each.
-        estimate_ms: the caller's rough guess of a task's time.
-        after: numbers of earlier steps that must have ended.
-        requires: a label that the worker must carry, or "".
-        rack: the rack that holds the data, or "".
-        max_per_worker: most tasks of this step on one worker, 0 for any.
-        speculative: whether copies may run beside one another.
+        count: number of tasks.
+        cpu: CPU of each task, in thousandths of a core.
+        memory_mb: memory of each task, in MB.
+        gpu: number of accelerators of each task.
+        estimate_ms: the caller's estimate of the duration of a task, in ms.
+        after: numbers of the earlier steps that must have ended before.
+        requires: label that a worker must have, "" for none.
+        rack: name of the rack that holds the step's data, "" for any.
+        max_per_worker: most tasks of this step on one worker, 0 for no limit.
+        speculative: whether a task may have several runs at the same time.
         is_checkpointing: whether the progress of its tasks can be saved.
-        is_gang: whether its tasks work only jointly: all are started with one
-            run number, and end well together.
-        wants_one_rack: whether a gang works faster within one rack.
-        is_lasting: whether its tasks run until the job is cancelled, and are
-            started again however they end.
-        target_ms: tasks that last serve users of their own, and the tail of
-            their answers' times is to stay below this; 0 for no users.
-        fills: whether it takes no room and works with what the others leave.
+        is_gang: whether its tasks run only together: all are started with one
+            run number, and succeed or fail as one.
+        wants_one_rack: whether a gang runs faster within one rack.
+        is_lasting: whether its tasks run until the job is cancelled; they are
+            restarted whenever they end.
+        target_ms: bound for the tail latency of the requests that each
+            long-running task serves, in ms; 0 if it serves none.
+        fills: whether it is a batch step, which reserves no CPU and uses what
+            other steps leave free.
     """
 
     count: int
@@ -52,29 +57,30 @@
 
     @property
     def room_cpu(self) -> int:
-        """The room that a task takes, in thousandths of a core."""
+        """CPU that is reserved for a task, in thousandths of a core."""
         return 0 if self.fills else self.cpu
 
 
 def find_step_fault(steps: tuple[Step, ...]) -> str:
-    """Returns what is wrong with the steps of a job, "" for nothing."""
+    """Returns the first error in the steps of a job, "" if there is none."""
     if not steps:
-        return "steps: name at least one."
+        return "steps is empty; name at least one step."
     for number, step in enumerate(steps):
         if step.count < 1:
-            return f"steps[{number}].count is not above 0."
-        if any(not 0 <= before < number for before in step.after):
-            return f"steps[{number}].after is no earlier step."
+            return f"steps[{number}].count must be above 0."
+        if any(not 0 <= earlier < number for earlier in step.after):
+            return f"steps[{number}].after must name only earlier steps."
     return ""
 
 
 class Schedule(msgspec.Struct, frozen=True, array_like=True):
-    """When the steps of a job run, by the time of day.
+    """The times at which a job's steps run, by the wall clock.
 
     Attributes:
-        repeats: how many times they run.
-        start_ms: when the first time is due, since 1970.
-        interval_ms: between the times; they may overlap.
+        repeats: number of iterations.
+        start_ms: time at which the first iteration is due, in ms since 1970.
+        interval_ms: time between the starts of iterations, in ms; iterations
+            may overlap.
     """
 
     repeats: int
@@ -82,28 +88,36 @@
     interval_ms: float
 
     def due_ms(self, time: int) -> float:
-        """Returns when a time, counted from 0, is due."""
+        """Returns the time at which an iteration is due, in ms since 1970.
+
+        Args:
+            time: number of the iteration, from 0.
+        """
         return self.start_ms + time * self.interval_ms
 
 
 class Job(msgspec.Struct, frozen=True, array_like=True):
-    """A job of steps.
+    """A caller's job.
 
     Attributes:
-        key: names the job within its queue.
-        queue: the name of its route.
-        service: whose workers run it.
-        spec: what the workers are to do.
-        steps: its steps.
-        priority: 0 goes first.
-        max_attempts: failed runs of a task after which the job has failed.
-        stretch: the objective as a multiple of the longest chain of work.
-        target_ms: added to it.
-        timeout_ms: when its caller stops waiting, from its arrival.
-        is_kept: whether its caller is answered once it is on stable storage
-            and asks for its state later; else once it has ended.
-        schedule: when its steps run; None for once and at once.
-        is_advised: whether only workers that the advisor names may run it.
+        key: name of the job within its queue.
+        queue: name of the route by which it came.
+        service: name of the service whose workers run it.
+        spec: description of the work, passed to the workers unchanged.
+        steps: the steps; `Step.after` refers to them by position.
+        priority: 0 is the highest.
+        max_attempts: number of failed runs of a task that fails the job.
+        stretch: the objective of the job's duration is the length of its
+            longest chain of dependent steps times `stretch`, plus `target_ms`.
+        target_ms: see `stretch`; in ms.
+        timeout_ms: time from its arrival until its caller gives up, in ms.
+        is_kept: whether the job is durable: its caller is answered once it is
+            on stable storage and requests its state later. Else the caller is
+            answered when the job ends.
+        schedule: the times at which the steps run; None to run them once,
+            immediately.
+        is_advised: whether only workers named by the advisor, an outside
+            service, may run it.
     """
 
     key: str
@@ -122,24 +136,29 @@
 
     @property
     def times(self) -> int:
-        """How many times its steps run."""
+        """Number of iterations."""
         return self.schedule.repeats if self.schedule else 1
 
     @property
     def task_count(self) -> int:
-        """How many tasks it has, over all its steps and times."""
+        """Number of tasks, over all steps and iterations."""
         return self.times * sum(step.count for step in self.steps)
 
     def stage_of(self, step: int, time: int) -> int:
-        """Returns the number of a step at a time among those of all times."""
+        """Returns the number of a step among the steps of all iterations.
+
+        Args:
+            step: number of the step within the job.
+            time: number of the iteration, from 0.
+        """
         return time * len(self.steps) + step
 
 
 class Verdict(enum.IntEnum):
-    """What the caller of a job is told.
+    """The result of a job as sent to its caller.
 
-    REFUSED says that nothing of it ran or will run; ABANDONED that something
-    of it may have run; ACCEPTED that it is kept and will run.
+    REFUSED: no task ran or will run. ABANDONED: a task may have run. ACCEPTED:
+    the job is on stable storage and will run.
     """
 
     COMPLETED = 0
@@ -151,7 +170,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Where a kept job stands."""
+    """The state of a kept job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -161,7 +180,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a job was refused or abandoned."""
+    """The reason for which a job was refused or abandoned."""
 
     NONE = ""
     TOO_LATE = "objective-out-of-reach"
@@ -177,27 +196,27 @@
 
 
 class WorkerState(enum.StrEnum):
-    """What a worker says of itself."""
+    """Whether a worker accepts new tasks."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WorkerInfo(msgspec.Struct, frozen=True, array_like=True):
-    """A worker's statement about itself.
+    """A worker's heartbeat: its address, capacity and state.
 
     Attributes:
-        name: names one life of the worker.
-        service: what it runs.
-        address: IP:PORT.
-        hall: where it stands.
-        state: whether it takes new tasks.
-        sequence: rises with each statement of one life.
-        cpu: thousandths of a core.
-        memory_mb: memory.
-        gpu: accelerators.
-        labels: its kind and its rack.
-        rack: where it stands, "" where that is not told.
+        name: name of one incarnation of the worker.
+        service: name of the service that it runs.
+        address: IP:PORT at which it accepts requests.
+        hall: name of its hall.
+        state: whether it accepts new tasks.
+        sequence: number of the heartbeat; rises within an incarnation.
+        cpu: CPU capacity, in thousandths of a core.
+        memory_mb: memory capacity, in MB.
+        gpu: number of accelerators.
+        labels: its kind and its rack, matched by `Step.requires`.
+        rack: name of its rack, "" if not announced.
     """
 
     name: str
@@ -214,10 +233,19 @@
 
 
 class Route(msgspec.Struct, frozen=True, array_like=True):
-    """A queue: which requests belong to it and how they are served.
+    """A queue: the requests that belong to it and the settings of its jobs.
 
     Attributes:
-        is_advised: whether only workers that the advisor names may run it.
+        name: name of the queue.
+        host: host name of the requests.
+        prefix: start of the path of the requests.
+        service: name of the service whose workers run the jobs.
+        timeout_ms: see `Job.timeout_ms`.
+        target_ms: see `Job.target_ms`.
+        priority: see `Job.priority`.
+        max_attempts: see `Job.max_attempts`.
+        stretch: see `Job.stretch`.
+        is_advised: see `Job.is_advised`.
     """
 
     name: str
@@ -240,7 +268,16 @@
         is_kept: bool,
         schedule: Schedule | None,
     ) -> Job:
-        """Returns a job of this queue."""
+        """Returns a job with the settings of this queue.
+
+        Args:
+            key: see `Job.key`.
+            spec: see `Job.spec`.
+            steps: see `Job.steps`.
+            timeout_ms: see `Job.timeout_ms`; replaces that of the queue.
+            is_kept: see `Job.is_kept`.
+            schedule: see `Job.schedule`.
+        """
         return Job(
             key,
             self.name,
@@ -259,7 +296,14 @@
 
 
 class Service(msgspec.Struct, frozen=True, array_like=True):
-    """A kind of worker."""
+    """The workers that run one kind of job.
+
+    Attributes:
+        name: name of the service.
+        max_connections: most connections to one worker.
+        enforces_capacity: whether the workers reject tasks beyond their
+            capacity themselves.
+    """
 
     name: str
     max_connections: int
@@ -267,7 +311,14 @@
 
 
 class Limits(msgspec.Struct, frozen=True, array_like=True):
-    """Bounds of one request."""
+    """Limits of a caller's request.
+
+    Attributes:
+        header_bytes: largest header, in bytes.
+        body_bytes: largest body, in bytes.
+        header_ms: longest time for a request to arrive once begun, in ms.
+        idle_ms: longest time a connection may be idle between requests, in ms.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 262144
@@ -276,10 +327,13 @@
 
 
 class RoutingTable(msgspec.Struct, frozen=True, array_like=True):
-    """A whole configuration of routes and services.
+    """A configuration of routes and services.
 
     Attributes:
-        version: the highest wins.
+        version: number of the configuration; the highest is the active one.
+        routes: the queues.
+        services: the services that the routes refer to.
+        limits: the limits of callers' requests.
     """
 
     version: int
--- a/packages/wire/src/clayfield/wire/ledger.py
+++ b/packages/wire/src/clayfield/wire/ledger.py
@@ -1,7 +1,9 @@
-"""How the holder and the leader of the control log speak of kept jobs.
+"""Messages between the holder and the leader of the control log on kept jobs.
 
-The holder is the only one that writes of kept jobs. Its writes name the epoch
-of its grant, and the log refuses those of an epoch that is over.
+A kept job is durable: the control nodes replicate its record. The holder is
+the entry node that schedules the workers under a grant of the control nodes,
+and the only node that writes these records. Each write carries the epoch of
+its grant; the control log rejects writes of an earlier epoch.
 """
 
 import msgspec
@@ -11,21 +13,25 @@
 
 
 class AcceptJob(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Keeps a job; one that is known stays as it is."""
+    """Records the acceptance of a kept job; has no effect if it is recorded.
+
+    Attributes:
+        job: the job.
+    """
 
     job: Job
 
 
 class EndTask(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Says that a run of a task has ended.
+    """Records the end of a run, one attempt to execute a task.
 
     Attributes:
-        key: the job.
-        step: the number of the step.
-        index: of the task within its step.
-        run: the number of the run, which rises with each run of the task.
-        is_done: whether it ended well; else it failed.
-        time: of the job's schedule.
+        key: key of the job.
+        step: number of the step.
+        index: position of the task within its step.
+        run: number of the run; rises with each run of the task.
+        is_done: whether the run succeeded; else it failed.
+        time: number of the iteration of the job's schedule, from 0.
     """
 
     key: str
@@ -37,7 +43,11 @@
 
 
 class CancelAccepted(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Cancels a kept job; one that has ended stays as it is."""
+    """Records that a kept job is cancelled; has no effect if it has ended.
+
+    Attributes:
+        key: key of the job.
+    """
 
     key: str
 
@@ -46,13 +56,14 @@
 
 
 class TaskFailures(msgspec.Struct, array_like=True):
-    """How often a task has failed, and the latest run that did.
+    """The failed runs of a task.
 
     Attributes:
-        stage: the number of its step among those of all times.
-        index: of the task within its step.
-        count: how often.
-        last_run: the latest that did.
+        stage: number of its step among the steps of all iterations; see
+            `Job.stage_of`.
+        index: position of the task within its step.
+        count: number of failed runs.
+        last_run: number of the latest failed run.
     """
 
     stage: int
@@ -65,10 +76,10 @@
     """A kept job that has not ended.
 
     Attributes:
-        job: what was asked for.
-        done: by stage the indices of the tasks that are done.
-        failures: of its tasks that have failed.
-        age_ms: how long the teller has known it.
+        job: the job as submitted.
+        done: for each stage the indices of the completed tasks.
+        failures: the tasks that have failed runs.
+        age_ms: time since the sender first recorded the job, in ms.
     """
 
     job: Job
@@ -78,11 +89,12 @@
 
 
 class HolderLease(Message, frozen=True, tag=True):
-    """Tells the holder that no other held the workers at a time.
+    """Confirms that the holder's grant was current at a time.
 
     Attributes:
-        epoch: of the grant in force.
-        sent_ms: of the status that this answers, on the holder's clock.
+        epoch: epoch of the current grant.
+        sent_ms: `EntryStatus.sent_ms` of the status that this answers, on the
+            holder's clock.
     """
 
     epoch: int
@@ -90,11 +102,11 @@
 
 
 class LoadJobs(Message, frozen=True, tag=True):
-    """Asks the leader for all kept jobs; answered by `JobsLoaded`.
+    """Requests all kept jobs from the leader; answered by `JobsLoaded`.
 
     Attributes:
-        epoch: of the grant that the holder acts on.
-        request: echoed in the answer.
+        epoch: epoch of the holder's grant.
+        request: number of the request, echoed in the reply.
     """
 
     epoch: int
@@ -102,14 +114,14 @@
 
 
 class JobsLoaded(Message, frozen=True, tag=True):
-    """Brings a part of the kept jobs.
+    """Carries one part of the reply to `LoadJobs`.
 
     Attributes:
-        request: of the question.
-        part: counts from 0.
-        is_last: whether no part follows.
-        open_jobs: that have not ended.
-        ended: by key how others ended.
+        request: number of the request.
+        part: number of this part, from 0.
+        is_last: whether this is the last part.
+        open_jobs: jobs that have not ended.
+        ended: final states of ended jobs, by key.
     """
 
     request: int
@@ -123,9 +135,9 @@
     """Writes changes of kept jobs; answered by `JobsWritten`.
 
     Attributes:
-        epoch: of the grant that the holder acts on.
-        sequence: numbers the writes of a holder.
-        changes: in their order; each may come again and changes nothing then.
+        epoch: epoch of the holder's grant.
+        sequence: number of the write; rises with each write of a holder.
+        changes: the changes in order; a repeated change has no effect.
     """
 
     epoch: int
@@ -134,7 +146,12 @@
 
 
 class JobsWritten(Message, frozen=True, tag=True):
-    """Says that a write is on stable storage of a majority."""
+    """Confirms that a write is on stable storage at a majority.
+
+    Attributes:
+        epoch: epoch of the write.
+        sequence: number of the write.
+    """
 
     epoch: int
     sequence: int
