--- a/packages/wire/src/clayfield/wire/codec.py
+++ b/packages/wire/src/clayfield/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encodes batches of messages and refuses what it cannot trust."""
+"""Encodes and decodes batches of messages and the greeting of a stream."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
 
 
 def encode(batch: list[messages.Message]) -> bytes:
-    """Returns a batch of messages as bytes."""
+    """Returns an encoded batch of messages."""
     return _encoder.encode(batch)
 
 
@@ -22,15 +22,16 @@
     """Returns the messages of a batch.
 
     Args:
-        data: what `encode` made, possibly damaged on the way.
+        data: a batch made by `encode`, or damaged or foreign data.
 
     Raises:
-        ClayfieldError: of kind BAD_FRAME; nothing of the batch is used.
+        ClayfieldError: of kind BAD_FRAME, if the batch is too large or not
+            valid as a whole.
     """
     if len(data) > MAX_FRAME_BYTES:
         raise ClayfieldError(
             Kind.BAD_FRAME,
-            f"{len(data)} bytes exceed {MAX_FRAME_BYTES}.",
+            f"frame of {len(data)} bytes exceeds {MAX_FRAME_BYTES} bytes.",
         )
     try:
         return _decoder.decode(data)
@@ -39,15 +40,15 @@
 
 
 class Greeting(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame of a stream: who speaks.
+    """The first frame of a stream; identifies the sender.
 
     Attributes:
-        cluster: the name that all boxes of a cluster share.
-        box: the sender's name.
-        incarnation: of the sender's process.
-        hall: where the sender stands.
-        version: the newest protocol version that it speaks.
-        halls: the names of all halls that the sender knows, sorted.
+        cluster: name shared by all boxes of a cluster.
+        box: name of the sender.
+        incarnation: number of this start of the sender's process.
+        hall: name of the sender's hall (zone).
+        version: newest protocol version that the sender supports.
+        halls: names of all halls in the sender's settings, sorted.
     """
 
     cluster: str
@@ -62,15 +63,15 @@
 
 
 def encode_greeting(greeting: Greeting) -> bytes:
-    """Returns a greeting as bytes."""
+    """Returns an encoded greeting."""
     return _encoder.encode(greeting)
 
 
 def decode_greeting(data: bytes) -> Greeting:
-    """Returns the greeting that opens a stream.
+    """Returns the greeting in a stream's first frame.
 
     Raises:
-        ClayfieldError: of kind BAD_FRAME, when it is none.
+        ClayfieldError: of kind BAD_FRAME, if the frame is not a greeting.
     """
     try:
         return _greeting_decoder.decode(data)
@@ -81,34 +82,34 @@
 def check_greeting(
     greeting: Greeting, cluster: str, halls: tuple[str, ...]
 ) -> None:
-    """Checks that a peer belongs here.
+    """Checks that a peer is compatible with this box.
 
-    Boxes that know different halls would seek a key's claim in different
-    places, so they do not talk.
+    Boxes with different sets of halls would look for the claim of a key in
+    different halls, so they must not exchange messages.
 
     Args:
-        greeting: what it said.
-        cluster: the name of this box's own cluster.
-        halls: the names of all halls, sorted.
+        greeting: the peer's greeting.
+        cluster: name of this box's cluster.
+        halls: names of all halls in this box's settings, sorted.
 
     Raises:
-        ClayfieldError: of kind BAD_FRAME, when the peer is of another cluster,
-            knows other halls or is too old.
+        ClayfieldError: of kind BAD_FRAME, if the peer has another cluster,
+            other halls or too old a protocol version.
     """
     if greeting.cluster != cluster:
         raise ClayfieldError(
             Kind.BAD_FRAME,
-            f"peer is of cluster {greeting.cluster!r}, not {cluster!r}.",
+            f"peer belongs to cluster {greeting.cluster!r}, not {cluster!r}.",
         )
     if greeting.halls != halls:
         raise ClayfieldError(
             Kind.BAD_FRAME,
             f"peer's --boxes names the halls {', '.join(greeting.halls)}, not"
-            f" {', '.join(halls)}.",
+            f" {', '.join(halls)}; use the same --boxes on both.",
         )
     if greeting.version < OLDEST_VERSION:
         raise ClayfieldError(
             Kind.BAD_FRAME,
-            f"peer speaks version {greeting.version}, oldest known"
-            f" {OLDEST_VERSION}.",
+            f"peer uses protocol version {greeting.version}, the oldest"
+            f" supported is {OLDEST_VERSION}.",
         )
--- a/packages/wire/src/clayfield/wire/messages.py
+++ b/packages/wire/src/clayfield/wire/messages.py
@@ -1,27 +1,33 @@
-"""The messages between boxes.
+"""Messages between boxes.
 
-Each is a small typed record; the codec checks types when it decodes. Fields
-are only ever added at the end, with a default, so that boxes of neighbouring
-versions understand each other.
+Each message is a typed record whose field types the codec checks on decoding.
+New fields are added only at the end and with a default, so that boxes of
+adjacent versions can exchange messages during an upgrade.
+
+Terms: a box is a machine, a hall a zone and a member a customer. A node is one
+start of the process of a box, named BOX/INCARNATION. A claim is the record
+that a node runs the job of an idempotency key. A slot is the capacity for one
+task on a worker.
 """
 
 import msgspec
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
-    """The base of all messages."""
+    """Base class of all messages."""
 
 
-# Consensus. `group` is "control" or "hall:NAME"; nodes are "BOX/INCARNATION".
+# Consensus messages, as in Raft. `group` names an instance of a group:
+# "control@..." or "hall:NAME@...".
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One entry of a replicated log.
+    """An entry of a replicated log.
 
     Attributes:
-        term: the leader's term that made it.
+        term: term of the leader that appended it.
         kind: `ENTRY_COMMAND`, `ENTRY_MEMBERS` or `ENTRY_NOOP`.
-        data: the command, or the encoded `Members`.
+        data: the command, the encoded `Members`, or empty.
     """
 
     term: int
@@ -35,14 +41,27 @@
 
 
 class Members(msgspec.Struct, frozen=True, array_like=True):
-    """The nodes of a group: those that vote, and those catching up."""
+    """The members of a group.
+
+    Attributes:
+        voters: nodes that vote.
+        learners: nodes that receive the log but do not vote yet.
+    """
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
 
 class VoteRequest(Message, frozen=True, tag=True):
-    """Asks for a vote, or in a pre-vote whether one would be given."""
+    """Requests a vote.
+
+    Attributes:
+        group: the group instance.
+        term: the candidate's term; in a pre-vote the term it would start.
+        last_index: index of the candidate's last log entry.
+        last_term: term of that entry.
+        pre: whether this is a pre-vote, which changes no state.
+    """
 
     group: str
     term: int
@@ -52,7 +71,14 @@
 
 
 class VoteReply(Message, frozen=True, tag=True):
-    """Answers a `VoteRequest` of the same term."""
+    """Answers a `VoteRequest`.
+
+    Attributes:
+        group: the group instance.
+        term: term of the request if the vote is granted, else the voter's.
+        granted: whether the vote is granted.
+        pre: whether it is a pre-vote.
+    """
 
     group: str
     term: int
@@ -61,7 +87,17 @@
 
 
 class AppendRequest(Message, frozen=True, tag=True):
-    """Brings entries, and by coming at all a heartbeat."""
+    """Carries log entries; also serves as the leader's heartbeat.
+
+    Attributes:
+        group: the group instance.
+        term: the leader's term.
+        prev_index: index of the entry before `entries`.
+        prev_term: term of that entry.
+        entries: the entries to append; may be empty.
+        commit: index of the last committed entry.
+        sent_ms: time of sending on the leader's clock, echoed in the reply.
+    """
 
     group: str
     term: int
@@ -73,7 +109,16 @@
 
 
 class AppendReply(Message, frozen=True, tag=True):
-    """Says how far the follower's log agrees; echoes `sent_ms`."""
+    """Answers an `AppendRequest`.
+
+    Attributes:
+        group: the group instance.
+        term: the follower's term.
+        ok: whether the follower's log contained the previous entry.
+        match: index up to which the logs match; if not `ok`, the index at
+            which the leader should retry, or 0.
+        sent_ms: `sent_ms` of the request; 0 if the request's term was old.
+    """
 
     group: str
     term: int
@@ -83,7 +128,19 @@
 
 
 class SnapshotChunk(Message, frozen=True, tag=True):
-    """A piece of a snapshot; `offset` is in bytes."""
+    """Carries a part of a snapshot.
+
+    Attributes:
+        group: the group instance.
+        term: the leader's term.
+        index: index of the last log entry in the snapshot.
+        index_term: term of that entry.
+        members: members of the group at that entry.
+        offset: position of `data` in the snapshot, in bytes.
+        data: the part.
+        done: whether it is the last part.
+        sent_ms: time of sending on the leader's clock, echoed in the reply.
+    """
 
     group: str
     term: int
@@ -97,7 +154,15 @@
 
 
 class SnapshotReply(Message, frozen=True, tag=True):
-    """Says up to which byte the snapshot at `index` has arrived."""
+    """Answers a `SnapshotChunk`.
+
+    Attributes:
+        group: the group instance.
+        term: the follower's term.
+        index: index of the last log entry in the snapshot.
+        offset: number of bytes of the snapshot received so far.
+        sent_ms: `sent_ms` of the chunk.
+    """
 
     group: str
     term: int
@@ -107,7 +172,12 @@
 
 
 class TimeoutNow(Message, frozen=True, tag=True):
-    """Tells a caught-up voter to stand for leader at once."""
+    """Requests that an up-to-date voter start an election immediately.
+
+    Attributes:
+        group: the group instance.
+        term: the leader's term.
+    """
 
     group: str
     term: int
@@ -117,8 +187,8 @@
     """A consensus message between two nodes.
 
     Attributes:
-        source: the node that sent it.
-        to: the node it is for; a later incarnation of the box ignores it.
+        source: the sender.
+        to: the receiver; another incarnation of its box ignores the message.
         body: the message.
     """
 
@@ -135,19 +205,20 @@
     )
 
 
-# Membership.
+# Membership messages.
 
 
 class Heartbeat(Message, frozen=True, tag=True):
-    """Tells a peer that this box lives, and what it holds.
+    """Announces that a box is alive, and its state.
 
     Attributes:
-        hall: the sender's hall.
-        config_version: the version in force at the sender.
-        fresh: groups of which the sender is a first member not yet formed.
-        leads: the term of each group that the sender leads under a lease.
-        joins: the nodes, as GROUP@NODE, by which the sender takes part.
-        stopping: the sender takes no new work.
+        hall: name of the sender's hall.
+        config_version: version of the sender's active configuration.
+        fresh: groups for which the sender holds no state that can still count:
+            none of an opened group, or only of one whose majority is lost.
+        leads: by group that the sender leads under a valid lease, its term.
+        joins: the sender's nodes in its groups, as GROUP@NODE.
+        stopping: whether the sender refuses new work.
     """
 
     hall: str
@@ -158,23 +229,27 @@
     stopping: bool = False
 
 
-# Configuration.
+# Configuration messages.
 
 
 class ConfigPull(Message, frozen=True, tag=True):
-    """Asks a peer for the changes after `version`."""
+    """Requests the configuration changes after a version.
+
+    Attributes:
+        version: version active at the sender.
+    """
 
     version: int
 
 
 class ConfigPush(Message, frozen=True, tag=True):
-    """Brings a whole configuration, or the deltas after `base`.
+    """Carries a whole configuration, or the changes after a version.
 
     Attributes:
-        base: the version that the first delta replaces; -1 for `whole`.
-        deltas: encoded changes, one a version.
-        whole: the whole configuration in canonical form, or empty.
-        version: the version reached with all of it.
+        base: version to which the first delta applies; -1 with `whole`.
+        deltas: encoded changes, one for each version; empty with `whole`.
+        whole: the whole configuration in canonical form, empty with `deltas`.
+        version: version that results.
     """
 
     base: int
@@ -184,7 +259,13 @@
 
 
 class ApplyRequest(Message, frozen=True, tag=True):
-    """Carries a checked configuration to the control leader."""
+    """Requests that the control leader accept a validated configuration.
+
+    Attributes:
+        request: number of the request, echoed in the reply.
+        replaces: version that the configuration replaces.
+        body: the encoded configuration.
+    """
 
     request: int
     replaces: int
@@ -192,7 +273,15 @@
 
 
 class ApplyReply(Message, frozen=True, tag=True):
-    """Answers an `ApplyRequest`; `code` is empty when accepted."""
+    """Answers an `ApplyRequest`.
+
+    Attributes:
+        request: number of the request.
+        version: version of the new configuration if it was accepted, else of
+            the active one.
+        code: code of the error, empty when accepted.
+        detail: explanation for a person.
+    """
 
     request: int
     version: int
@@ -201,12 +290,12 @@
 
 
 class OpenRequest(Message, frozen=True, tag=True):
-    """Asks control to record that a hall's claims start anew.
+    """Requests that the control log record a new, empty table of claims.
 
     Attributes:
-        hall: whose claims.
-        instance: the group instance that is to open.
-        halls: the names of all halls that the sender knows, sorted.
+        hall: name of the hall.
+        instance: group instance that holds the new table.
+        halls: names of all halls in the sender's settings, sorted.
     """
 
     hall: str
@@ -215,40 +304,53 @@
 
 
 class OpenReply(Message, frozen=True, tag=True):
-    """Says how often the hall's claims have started, this time included."""
+    """Answers an `OpenRequest`.
+
+    Attributes:
+        hall: name of the hall.
+        instance: group instance of the request.
+        count: number of times that the hall's claims have started empty, this
+            time included.
+    """
 
     hall: str
     instance: str
     count: int
 
 
-# Claims.
+# Claims of idempotency keys.
 
-CLAIM_GRANTED = 0
-CLAIM_OWNED = 1
-CLAIM_REUSED = 2
-CLAIM_DONE = 3
-CLAIM_UNKNOWN = 4
-CLAIM_UNAVAILABLE = 5
-CLAIM_SETTLED = 6
-CLAIM_LOST = 7
+# Verdicts of a `ClaimReply`.
+CLAIM_GRANTED = 0  # the key is claimed for the sender
+CLAIM_OWNED = 1  # another submission owns it and has no outcome yet
+CLAIM_REUSED = 2  # it was claimed with another request body
+CLAIM_DONE = 3  # its outcome is in the reply
+CLAIM_UNKNOWN = 4  # no claim of it is recorded
+CLAIM_UNAVAILABLE = 5  # the table of claims is not open
+CLAIM_SETTLED = 6  # a `Complete` or `Unclaim` is applied
+CLAIM_LOST = 7  # it may have been claimed in a table that is lost
 
 
 class Outcome(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A final answer: `status` and `body` as sent to the caller."""
+    """The final answer to a caller.
+
+    Attributes:
+        status: HTTP status.
+        body: body of the response.
+    """
 
     status: int
     body: bytes
 
 
 class Claim(Message, frozen=True, tag=True):
-    """Claims a key for its owner.
+    """Claims an idempotency key for its owner.
 
     Attributes:
-        key: the caller's key, with its member.
-        digest: of the body.
-        owner: node that will run it.
-        nonce: tells this submission from others of the owner.
+        key: MEMBER/KEY.
+        digest: digest of the request body.
+        owner: node that runs the submission.
+        nonce: number of the submission at its owner.
     """
 
     key: str
@@ -258,7 +360,14 @@
 
 
 class Complete(Message, frozen=True, tag=True):
-    """Records the final answer of a claim."""
+    """Records the final answer of a claim.
+
+    Attributes:
+        key: MEMBER/KEY.
+        owner: owner of the claim.
+        nonce: number of the submission at its owner.
+        outcome: the answer.
+    """
 
     key: str
     owner: str
@@ -267,7 +376,13 @@
 
 
 class Unclaim(Message, frozen=True, tag=True):
-    """Gives up a claim of which nothing has started nor will."""
+    """Removes a claim of which no task has started or will start.
+
+    Attributes:
+        key: MEMBER/KEY.
+        owner: owner of the claim.
+        nonce: number of the submission at its owner.
+    """
 
     key: str
     owner: str
@@ -275,7 +390,13 @@
 
 
 class Lookup(Message, frozen=True, tag=True):
-    """Asks for the state of a key."""
+    """Requests the state of a key.
+
+    Attributes:
+        key: MEMBER/KEY.
+        owner: node that receives the reply.
+        nonce: number of the request at that node.
+    """
 
     key: str
     owner: str
@@ -286,12 +407,12 @@
     """Answers a claim command.
 
     Attributes:
-        key: of the command.
-        nonce: of the command.
+        key: key of the command.
+        nonce: nonce of the command.
         verdict: one of the `CLAIM_` constants.
-        owner: the node that holds the claim.
-        owner_nonce: the number under which it holds it.
-        outcome: the final answer, once there is one.
+        owner: node that owns the claim, "" where it does not matter.
+        owner_nonce: number of the submission at its owner.
+        outcome: the final answer, None if there is none yet.
     """
 
     key: str
@@ -303,19 +424,24 @@
 
 
 class AnswerFetch(Message, frozen=True, tag=True):
-    """Asks the owner of a key for its answer when there is one."""
+    """Requests the final answer of a key from its owner.
+
+    Attributes:
+        key: MEMBER/KEY.
+        nonce: number of the submission at its owner.
+    """
 
     key: str
     nonce: int
 
 
 class AnswerReply(Message, frozen=True, tag=True):
-    """Brings the answer of a key.
+    """Answers an `AnswerFetch`.
 
     Attributes:
-        key: the caller's key, with its member.
-        outcome: the answer, None when there is none here.
-        is_pending: whether one is still expected.
+        key: MEMBER/KEY.
+        outcome: the final answer, None if the sender has none.
+        is_pending: whether an answer will follow.
     """
 
     key: str
@@ -323,26 +449,27 @@
     is_pending: bool = False
 
 
-# Slots.
+# Slots for tasks on workers.
 
-RELEASE_DONE = 0
-RELEASE_UNUSED = 1
-RELEASE_REFUSED = 2
-RELEASE_LEAVING = 3
-RELEASE_LOST = 4
+# Results of a `SlotRelease`.
+RELEASE_DONE = 0  # the task ran and the worker replied
+RELEASE_UNUSED = 1  # no task was sent
+RELEASE_REFUSED = 2  # the worker rejected the task
+RELEASE_LEAVING = 3  # the worker rejected the task because it is stopping
+RELEASE_LOST = 4  # the worker did not reply or was unreachable
 
 
 class SlotRequest(Message, frozen=True, tag=True):
-    """Asks the hall's scheduler for slots, one for each task.
+    """Requests slots from the hall's scheduler, one for each task.
 
     Attributes:
-        request: the box's number for it.
-        member: whose work it is.
-        service: which service's workers may run it.
-        priority: the priority class.
-        tasks: how many slots are still wanted.
-        deadline_ms: time left when sent; 0 for none.
-        waited_ms: how long it has waited already.
+        request: number of the request at the sender.
+        member: name of the member that the tasks belong to.
+        service: name of the service whose workers may run the tasks.
+        priority: name of the priority class.
+        tasks: number of slots still needed.
+        deadline_ms: time until the deadline when sent, in ms; 0 for none.
+        waited_ms: time since the request was first made, in ms.
     """
 
     request: int
@@ -355,20 +482,36 @@
 
 
 class SlotCancel(Message, frozen=True, tag=True):
-    """Withdraws a `SlotRequest`."""
+    """Withdraws a `SlotRequest`.
+
+    Attributes:
+        request: number of the request.
+    """
 
     request: int
 
 
 class SlotGrant(Message, frozen=True, tag=True):
-    """Grants slots: one grant number and worker for each."""
+    """Grants slots.
+
+    Attributes:
+        request: number of the request.
+        grants: for each slot its grant number and the name of its worker.
+    """
 
     request: int
     grants: list[tuple[int, str]]
 
 
 class SlotRefuse(Message, frozen=True, tag=True):
-    """Refuses what is left of a `SlotRequest`."""
+    """Refuses the slots of a `SlotRequest` that are not granted yet.
+
+    Attributes:
+        request: number of the request.
+        code: code of the error.
+        detail: explanation for a person.
+        retry_after_ms: time after which to retry, in ms.
+    """
 
     request: int
     code: str
@@ -377,7 +520,14 @@
 
 
 class SlotRelease(Message, frozen=True, tag=True):
-    """Gives a slot back; `took_ms` is the task's time at the worker."""
+    """Returns a slot to the scheduler.
+
+    Attributes:
+        grant: grant number of the slot.
+        worker: name of the worker.
+        result: one of the `RELEASE_` constants.
+        took_ms: duration of the task at the worker, in ms.
+    """
 
     grant: int
     worker: str
@@ -386,7 +536,13 @@
 
 
 class HeldSlot(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A slot that a box holds, told to a new scheduler."""
+    """A slot that a box holds.
+
+    Attributes:
+        grant: grant number of the slot.
+        worker: name of the worker.
+        request: the request that the slot was granted to.
+    """
 
     grant: int
     worker: str
@@ -394,7 +550,12 @@
 
 
 class SlotSync(Message, frozen=True, tag=True):
-    """Tells a new scheduler what a box holds and waits for."""
+    """Reports a box's slots and queued requests to the hall's scheduler.
+
+    Attributes:
+        held: slots that the box holds.
+        waiting: requests that need further slots.
+    """
 
     held: list[HeldSlot]
     waiting: list[SlotRequest]
