--- a/packages/base/src/clayfield/base/__init__.py
+++ b/packages/base/src/clayfield/base/__init__.py
@@ -1,4 +1,4 @@
-"""What every clayfield package shares: the clock, errors and log events."""
+"""The clock, errors, log events and settings used by every package."""
 
 from clayfield.base.clock import Clock, ManualClock, MonotonicClock
 from clayfield.base.errors import ClayfieldError, Kind, Problem, Ran
--- a/packages/base/src/clayfield/base/clock.py
+++ b/packages/base/src/clayfield/base/clock.py
@@ -1,8 +1,8 @@
-"""The one clock type: milliseconds that only go forward, and the time of day.
+"""Clocks: monotonic time and wall-clock time, in milliseconds.
 
-Decisions read time from a `Clock` given to them and from nothing else, so
-that a test can run them with a `ManualClock`. A reading means something only
-on the box that took it.
+All decision code reads time only from a `Clock` passed to it, so that tests
+can run it on a `ManualClock`. Monotonic readings are comparable only within
+one process.
 """
 
 import abc
@@ -12,39 +12,40 @@
 
 
 class Clock(abc.ABC):
-    """A source of monotonic time."""
+    """A source of monotonic and wall-clock time."""
 
     @abc.abstractmethod
     def now_ms(self) -> float:
-        """Returns milliseconds since an arbitrary start."""
+        """Returns the monotonic time, in ms since an arbitrary start."""
 
     @abc.abstractmethod
     def wall_ms(self) -> float:
-        """Returns milliseconds since 1970 by the time of day.
+        """Returns the wall-clock time, in ms since 1970.
 
-        It may jump either way; only what callers date by it is measured so.
+        It may jump forward or back, so it is used only for times that callers
+        give as a date.
         """
 
 
 class MonotonicClock(Clock):
-    """The machine's own monotonic clock."""
+    """The clock of the machine."""
 
     __slots__ = ()
 
     def now_ms(self) -> float:
-        """Returns milliseconds of the machine's monotonic clock."""
+        """Returns the time of the machine's monotonic clock, in ms."""
         return time.monotonic_ns() / NS_PER_MS
 
     def wall_ms(self) -> float:
-        """Returns milliseconds of the machine's time of day."""
+        """Returns the time of the machine's wall clock, in ms since 1970."""
         return time.time_ns() / NS_PER_MS
 
 
 class ManualClock(Clock):
-    """A clock that moves only when it is told to.
+    """A clock that changes only by calls to `set` and `advance`.
 
     Attributes:
-        wall_offset_ms: by how much the time of day is ahead.
+        wall_offset_ms: wall-clock time minus monotonic time, in ms.
     """
 
     __slots__ = ("_now_ms", "wall_offset_ms")
@@ -54,26 +55,26 @@
         self.wall_offset_ms = 0.0
 
     def now_ms(self) -> float:
-        """Returns the time that was last set."""
+        """Returns the time set last, in ms."""
         return self._now_ms
 
     def wall_ms(self) -> float:
-        """Returns the time that was last set, shifted by an offset."""
+        """Returns the time set last plus `wall_offset_ms`, in ms."""
         return self._now_ms + self.wall_offset_ms
 
     def set(self, now_ms: float) -> None:
-        """Moves the clock.
+        """Sets the time.
 
         Args:
-            now_ms: the new time in milliseconds.
+            now_ms: the new time, in ms.
 
         Raises:
-            ValueError: the new time lies before the present one.
+            ValueError: the new time is before the current one.
         """
         if now_ms < self._now_ms:
-            raise ValueError(f"clock cannot go back to {now_ms}")
+            raise ValueError(f"clock cannot go back to {now_ms} ms")
         self._now_ms = now_ms
 
     def advance(self, delta_ms: float) -> None:
-        """Moves the clock forward by `delta_ms` milliseconds."""
+        """Advances the time by `delta_ms` milliseconds."""
         self.set(self._now_ms + delta_ms)
--- a/packages/base/src/clayfield/base/events.py
+++ b/packages/base/src/clayfield/base/events.py
@@ -1,7 +1,7 @@
-"""Numbered log events; docs/events.md is their catalogue.
+"""Numbered log events; docs/events.md lists them.
 
-An event is written as one line of JSON: time, number, name, level, and the
-fields that the event declares.
+Each event is logged as one line of JSON with time, level, number, name,
+message and the fields that the event declares.
 """
 
 import enum
@@ -13,8 +13,8 @@
 import logbook
 import msgspec
 
-# Bounds of what is written to standard output.
-LINES_A_S = 150.0
+# Rate limit of the log on standard output: average rate and burst.
+LINES_PER_S = 150.0
 BURST_LINES = 400.0
 
 
@@ -26,7 +26,7 @@
 
 
 class Event(enum.Enum):
-    """Every event that the product logs."""
+    """The log events."""
 
     STARTED = _Spec(
         1001,
@@ -39,58 +39,67 @@
     STOPPING = _Spec(
         1004, logbook.INFO, "a planned stop began", ("open_submissions",)
     )
-    STOPPED = _Spec(1005, logbook.INFO, "the box ended", ("drained",))
+    STOPPED = _Spec(1005, logbook.INFO, "the box stopped", ("drained",))
     CERTIFICATE_RELOADED = _Spec(
-        1006, logbook.INFO, "certificates were read again", ("path",)
+        1006, logbook.INFO, "certificates were reloaded", ("path",)
     )
     CERTIFICATE_BAD = _Spec(
         1007,
         logbook.ERROR,
-        "a certificate could not be read; the earlier one stays",
+        "a certificate could not be read; the previous one stays in use",
         ("path", "error"),
     )
     NODE_STARTED = _Spec(
         1008, logbook.INFO, "the node started", ("node", "role")
     )
-    NODE_STOPPED = _Spec(1009, logbook.INFO, "the node ended", ("node",))
+    NODE_STOPPED = _Spec(1009, logbook.INFO, "the node stopped", ("node",))
     NODE_FAILED = _Spec(
-        1010, logbook.CRITICAL, "the node cannot go on", ("node", "error")
+        1010,
+        logbook.CRITICAL,
+        "the node stops after a fatal error",
+        ("node", "error"),
     )
     RELOADED = _Spec(
-        1011, logbook.INFO, "the settings were read again", ("node",)
+        1011, logbook.INFO, "the settings were reloaded", ("node",)
     )
     PEER_CONNECTED = _Spec(
         2001, logbook.INFO, "a stream to a peer opened", ("peer",)
     )
     PEER_LOST = _Spec(
-        2002, logbook.WARNING, "a stream to a peer broke", ("peer", "error")
+        2002, logbook.WARNING, "a stream to a peer was lost", ("peer", "error")
     )
     FRAME_REFUSED = _Spec(
         2003,
         logbook.WARNING,
-        "a frame from a peer was refused",
+        "a frame from a peer was rejected",
         ("peer", "error"),
     )
     LEADING = _Spec(
-        2004, logbook.INFO, "this box began to lead a group", ("group", "term")
+        2004,
+        logbook.INFO,
+        "this node became leader of a group",
+        ("group", "term"),
     )
     LEADING_ENDED = _Spec(
-        2005, logbook.INFO, "this box leads no more", ("group", "term")
+        2005,
+        logbook.INFO,
+        "this node is no longer leader of a group",
+        ("group", "term"),
     )
     GRANT_KNOWN = _Spec(
         2006,
         logbook.INFO,
-        "a node learnt who holds the workers",
+        "this node received a new grant for the workers",
         ("epoch", "holder"),
     )
     HOLDING = _Spec(
-        2007, logbook.INFO, "this node began to hold workers", ("epoch",)
+        2007, logbook.INFO, "this node began to schedule workers", ("epoch",)
     )
     HOLDING_ENDED = _Spec(
-        2008, logbook.INFO, "this node holds workers no more", ("epoch",)
+        2008, logbook.INFO, "this node no longer schedules workers", ("epoch",)
     )
     CONFIG_IN_FORCE = _Spec(
-        3001, logbook.INFO, "a configuration came into force", ("version",)
+        3001, logbook.INFO, "a configuration became active", ("version",)
     )
     CONFIG_REJECTED = _Spec(
         3002, logbook.WARNING, "a configuration was rejected", ("error",)
@@ -98,31 +107,31 @@
     STORE_REPAIRED = _Spec(
         4001,
         logbook.WARNING,
-        "an unfinished write at the end of the log was cut off",
+        "an incomplete write at the end of the log was truncated",
         ("path", "bytes"),
     )
     STORE_FAILED = _Spec(
         4002,
         logbook.CRITICAL,
-        "the data folder failed; this box votes no more until restarted",
+        "the data folder failed; this box does not vote until restarted",
         ("path", "error"),
     )
     LIST_FAILED = _Spec(
         5001,
         logbook.WARNING,
-        "the platform list could not be read; the earlier one stays",
+        "the platform list could not be read; the previous one stays in use",
         ("error",),
     )
     WORKER_ANSWER_BAD = _Spec(
         5002,
         logbook.WARNING,
-        "a worker broke the protocol",
+        "a worker sent an invalid response",
         ("worker", "error"),
     )
     JOB_ANSWERED = _Spec(
         6001,
         logbook.INFO,
-        "an entry answered the caller of a job",
+        "an entry node replied to the caller of a job",
         (
             "job",
             "queue",
@@ -155,46 +164,46 @@
     RUN_LOST = _Spec(
         6003,
         logbook.INFO,
-        "a run ended otherwise than done",
+        "a run ended without success",
         ("job", "step", "index", "run", "worker", "state", "end", "ran_ms"),
     )
     RUN_DOUBTFUL = _Spec(
         6004,
         logbook.WARNING,
-        "a start got no answer and is being stopped",
+        "a start request got no reply; the run is being stopped",
         ("job", "step", "index", "run", "worker"),
     )
     WORKER_SILENT = _Spec(
         6005,
         logbook.WARNING,
-        "a worker does not answer; nothing new is placed there",
+        "a worker is unresponsive; no new tasks are placed on it",
         ("worker", "silent_ms", "runs"),
     )
     WORKER_BACK = _Spec(
         6006,
         logbook.INFO,
-        "a worker answers again",
+        "a worker is responsive again",
         ("worker", "silent_ms"),
     )
     WORKER_GONE = _Spec(
-        6007, logbook.INFO, "a worker's life is over", ("worker", "runs")
+        6007, logbook.INFO, "a worker was removed", ("worker", "runs")
     )
     WORKER_SET_ASIDE = _Spec(
         6008,
         logbook.WARNING,
-        "a worker gets nothing new for a while",
+        "a worker gets no new tasks for a while",
         ("worker", "cause", "pause_ms"),
     )
     WORKER_FENCED = _Spec(
         6009,
         logbook.WARNING,
-        "a worker obeys a higher fence",
+        "a worker rejected a request, as it has a higher fencing token",
         ("worker", "fence"),
     )
     WORKER_KNOWN = _Spec(
         6010,
         logbook.INFO,
-        "a worker said something new of itself",
+        "a worker's heartbeat has new content",
         ("worker", "state", "sequence", "hall"),
     )
     JOB_STORED = _Spec(
@@ -206,46 +215,55 @@
     JOBS_LOADED = _Spec(
         6012,
         logbook.INFO,
-        "a new holder heard of the kept jobs",
+        "a new holder loaded the kept jobs",
         ("epoch", "open_jobs", "ended_jobs"),
     )
     AUTHORITY_LOST = _Spec(
         6013,
         logbook.WARNING,
-        "no leader answers the holder; it stops kept jobs",
+        "no control leader answers the holder; it stops runs of kept jobs",
         ("epoch",),
     )
     AUTHORITY_BACK = _Spec(
-        6014, logbook.INFO, "a leader answers the holder again", ("epoch",)
+        6014,
+        logbook.INFO,
+        "a control leader answers the holder again",
+        ("epoch",),
     )
     RUN_PACED = _Spec(
         6015,
         logbook.INFO,
-        "a run that fills may work at another pace",
+        "the throttle of a batch run changed",
         ("job", "step", "index", "run", "worker", "percent"),
     )
     INTERNAL = _Spec(
-        9001, logbook.ERROR, "an unexpected error was contained", ("error",)
+        9001, logbook.ERROR, "an unexpected error was caught", ("error",)
     )
 
     @property
     def number(self) -> int:
-        """The number by which the catalogue lists it."""
+        """The number of the event in docs/events.md."""
         return self.value.number
 
 
 _logger = logbook.Logger("clayfield")
-_bounded: list["BoundedJsonLines"] = []
+_bounded_handlers: list["BoundedJsonLinesHandler"] = []
 
 
 def emit(event: Event, **fields: object) -> None:
     """Logs an event.
 
+    Args:
+        event: the event.
+        **fields: a value for each field that the event declares.
+
     Raises:
         TypeError: the fields are not those that the event declares.
     """
     if set(fields) != set(event.value.fields):
-        raise TypeError(f"{event.name} takes {event.value.fields}")
+        raise TypeError(
+            f"event {event.name} must have the fields {event.value.fields}"
+        )
     _logger.log(
         event.value.level,
         event.value.text,
@@ -253,11 +271,11 @@
     )
 
 
-class JsonLines(logbook.StreamHandler):
-    """Writes each event as one line of JSON."""
+class JsonLinesHandler(logbook.StreamHandler):
+    """Formats each event as one line of JSON."""
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Returns the line for a record."""
+        """Returns the line for a log record."""
         line = {
             "time": record.time.isoformat(timespec="milliseconds") + "Z",
             "level": record.level_name.lower(),
@@ -271,25 +289,26 @@
         return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-class BoundedJsonLines(JsonLines):
-    """Writes lines to standard output, within bounds, and never waits.
+class BoundedJsonLinesHandler(JsonLinesHandler):
+    """Writes lines to standard output, rate-limited and without blocking.
 
-    At most `BURST_LINES` at once and `LINES_A_S` on average; what is beyond,
-    or what the reader of the output does not take in time, is dropped and
-    counted. Each line that follows tells how many were dropped before it.
+    A token bucket allows bursts of `BURST_LINES` and `LINES_PER_S` on average;
+    warnings and errors pass it regardless. A line beyond the limit, or one
+    that the full pipe does not accept, is dropped. The next line written has
+    the number of lines dropped before it in `dropped_before`.
     """
 
     def __init__(self, level: int):
         super().__init__(sys.stdout, level=level)
         self._fd = sys.stdout.fileno()
         os.set_blocking(self._fd, False)
-        self._allowance = BURST_LINES
-        self._filled_s = time.monotonic()
+        self._tokens = BURST_LINES
+        self._refilled_s = time.monotonic()
         self._dropped = 0
-        self._dropped_ever = 0
+        self._total_dropped = 0
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Writes a record, or counts it as dropped."""
+        """Writes a record, or drops and counts it."""
         if not self._may_write(record):
             self._drop()
             return
@@ -304,37 +323,47 @@
 
     @property
     def dropped(self) -> int:
-        """How many lines were dropped since the start."""
-        return self._dropped_ever
+        """Number of lines dropped since the start."""
+        return self._total_dropped
 
     def _drop(self) -> None:
         self._dropped += 1
-        self._dropped_ever += 1
+        self._total_dropped += 1
 
     def _may_write(self, record: logbook.LogRecord) -> bool:
         now_s = time.monotonic()
-        gained = (now_s - self._filled_s) * LINES_A_S
-        self._filled_s = now_s
-        self._allowance = min(BURST_LINES, self._allowance + gained)
-        if self._allowance < 1 and record.level < logbook.WARNING:
+        refill = (now_s - self._refilled_s) * LINES_PER_S
+        self._refilled_s = now_s
+        self._tokens = min(BURST_LINES, self._tokens + refill)
+        if self._tokens < 1 and record.level < logbook.WARNING:
             return False
-        self._allowance = max(0.0, self._allowance - 1)
+        self._tokens = max(0.0, self._tokens - 1)
         return True
 
 
 def set_up_bounded(level: str) -> None:
-    """Sends events to standard output, bounded, without ever waiting."""
-    handler = BoundedJsonLines(logbook.lookup_level(level.upper()))
+    """Logs events to standard output, rate-limited and without blocking.
+
+    Args:
+        level: name of the lowest level to log.
+    """
+    handler = BoundedJsonLinesHandler(logbook.lookup_level(level.upper()))
     handler.push_application()
-    _bounded.append(handler)
+    _bounded_handlers.append(handler)
 
 
 def lines_dropped() -> int:
-    """Returns how many lines bounded logging has dropped."""
-    return sum(handler.dropped for handler in _bounded)
+    """Returns the number of lines dropped by `set_up_bounded` handlers."""
+    return sum(handler.dropped for handler in _bounded_handlers)
 
 
 def set_up(level: str) -> None:
-    """Sends events of a level and above to standard error."""
-    handler = JsonLines(sys.stderr, level=logbook.lookup_level(level.upper()))
+    """Logs events to standard error.
+
+    Args:
+        level: name of the lowest level to log.
+    """
+    handler = JsonLinesHandler(
+        sys.stderr, level=logbook.lookup_level(level.upper())
+    )
     handler.push_application()
