--- a/packages/base/src/clayfield/base/errors.py
+++ b/packages/base/src/clayfield/base/errors.py
@@ -1,11 +1,11 @@
-"""Typed errors: each kind has a code, an HTTP status and a remedy."""
+"""Typed errors; each kind has a stable code, an HTTP status and a remedy."""
 
 import enum
 import typing
 
 
 class Ran(enum.StrEnum):
-    """Whether the work that an error speaks of was started."""
+    """Whether any task of the failed request was started."""
 
     NO = "no"
     MAYBE = "maybe"
@@ -20,7 +20,7 @@
 
 
 class Kind(enum.Enum):
-    """The kinds of error, with what to do about each."""
+    """The kinds of error."""
 
     BAD_JSON = _Spec(
         "CF101", 400, "body is not JSON", "Send one JSON object in UTF-8."
@@ -74,7 +74,7 @@
         "CF201",
         429,
         "capacity is short and this class is the cheapest waiting",
-        "Send again after Retry-After, or use a dearer class.",
+        "Send again after Retry-After, or use a class with a higher price.",
     )
     QUOTA = _Spec(
         "CF202",
@@ -176,27 +176,27 @@
 
     @property
     def code(self) -> str:
-        """The stable code of the kind."""
+        """The code, which never changes."""
         return self.value.code
 
     @property
     def status(self) -> int:
-        """The HTTP status that the kind is sent with."""
+        """The HTTP status of a response with this error."""
         return self.value.status
 
     @property
     def title(self) -> str:
-        """The kind in a few words."""
+        """A short description of the kind."""
         return self.value.title
 
     @property
     def remedy(self) -> str:
-        """What whoever sees the error can do."""
+        """What the caller or operator can do about the error."""
         return self.value.remedy
 
     @classmethod
     def from_code(cls, code: str) -> "Kind":
-        """Returns the kind with a code.
+        """Returns the kind with the given code.
 
         Raises:
             KeyError: no kind has that code.
@@ -208,13 +208,14 @@
 
 
 class Problem:
-    """An error as it is told to a caller.
+    """An error as reported to a caller.
 
     Attributes:
-        kind: what went wrong.
-        detail: the particulars, for a person.
-        ran: whether the work was started.
-        retry_after_ms: when to come back, or None where that does not help.
+        kind: kind of the error.
+        detail: explanation of this case, for a person; "" for none.
+        ran: whether any task of the request was started.
+        retry_after_ms: time after which to retry, in ms; None if a retry does
+            not help.
     """
 
     __slots__ = ("detail", "kind", "ran", "retry_after_ms")
@@ -233,10 +234,10 @@
 
 
 class ClayfieldError(Exception):
-    """Any error that clayfield raises on purpose.
+    """Base class of the errors that clayfield raises.
 
     Attributes:
-        problem: the typed problem.
+        problem: the error as reported to a caller.
     """
 
     def __init__(
@@ -253,5 +254,5 @@
 
     @property
     def kind(self) -> Kind:
-        """The kind of the problem."""
+        """Kind of the error."""
         return self.problem.kind
--- a/packages/base/src/clayfield/base/settings.py
+++ b/packages/base/src/clayfield/base/settings.py
@@ -1,7 +1,8 @@
-"""Settings in flags and environment variables, checked all at once.
+"""Settings from command-line flags and environment variables.
 
-Each setting has a flag, `--peer-port`, and a variable, `CLAYFIELD_PEER_PORT`;
-the flag goes first.
+Each setting has a flag such as `--peer-port` and an environment variable such
+as `CLAYFIELD_PEER_PORT`; the flag takes precedence. All errors are reported
+together.
 """
 
 import argparse
@@ -12,19 +13,19 @@
 from clayfield.base.errors import ClayfieldError, Kind
 
 PREFIX = "CLAYFIELD_"
-# Both binaries may be used from one shell: what the command line reads is no
-# fault to the daemon, and the other way round the command line does not ask.
+# Settings that only the command-line client reads. The daemon accepts their
+# variables, since both programs may run in the same shell.
 COMMAND_LINE_NAMES = ("box_urls", "token", "authority", "timeout_s")
 
 
 class Setting(typing.NamedTuple):
-    """One setting.
+    """A setting.
 
     Attributes:
-        name: in lower case with underscores.
-        read: turns text into the value, or raises ValueError.
-        default: the text used when none is given; None when required.
-        help: one line.
+        name: name in lower case with underscores.
+        read: parses the text into the value; raises ValueError if invalid.
+        default: text used when none is given; None if the setting is required.
+        help: help text, a single line.
     """
 
     name: str
@@ -34,52 +35,56 @@
 
     @property
     def flag(self) -> str:
-        """The flag."""
+        """Name of the command-line flag, such as `--peer-port`."""
         return "--" + self.name.replace("_", "-")
 
     @property
     def variable(self) -> str:
-        """The environment variable."""
+        """Name of the environment variable."""
         return PREFIX + self.name.upper()
 
 
 def whole_number(low: int, high: int) -> Callable[[str], int]:
-    """Returns a reader of whole numbers within bounds."""
+    """Returns a parser of integers from `low` to `high`."""
 
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         value = int(text)
         if not low <= value <= high:
-            raise ValueError(f"not from {low} to {high}")
+            raise ValueError(f"must be from {low} to {high}")
         return value
 
-    return read
+    return parse
 
 
 def yes_or_no(text: str) -> bool:
-    """Reads `yes` or `no`."""
+    """Returns whether a text is `yes`; raises ValueError unless yes or no."""
     if text not in ("yes", "no"):
-        raise ValueError("not 'yes' or 'no'")
+        raise ValueError("must be 'yes' or 'no'")
     return text == "yes"
 
 
 def address(text: str) -> tuple[str, int]:
-    """Reads `IP:PORT`."""
+    """Returns host and port of an `IP:PORT`; raises ValueError if invalid."""
     host, separator, port = text.rpartition(":")
     if not separator or not host:
-        raise ValueError("not IP:PORT")
+        raise ValueError("must be IP:PORT")
     return host, whole_number(0, 65535)(port)
 
 
 def add_flags(
     parser: argparse.ArgumentParser, settings: Sequence[Setting]
 ) -> None:
-    """Adds a flag for each setting."""
-    for one in settings:
-        default = "required" if one.default is None else one.default or "none"
+    """Adds a flag for each setting to a parser."""
+    for setting in settings:
+        default = (
+            "required" if setting.default is None else setting.default or "none"
+        )
         parser.add_argument(
-            one.flag,
+            setting.flag,
             metavar="VALUE",
-            help=f"{one.help} [{one.variable}; {default}]".replace("%", "%%"),
+            help=f"{setting.help} [{setting.variable}; {default}]".replace(
+                "%", "%%"
+            ),
         )
 
 
@@ -92,42 +97,44 @@
     """Returns the value of each setting by its name.
 
     Args:
-        settings: those that there are.
-        flags: as parsed.
-        environment: the variables.
-        is_strict: take an unknown CLAYFIELD_ variable for a fault.
+        settings: the settings to read.
+        flags: the parsed command line.
+        environment: the environment variables.
+        is_strict: whether an unknown CLAYFIELD_ variable is an error.
 
     Raises:
-        ClayfieldError: of kind BAD_SETTINGS, naming every fault.
+        ClayfieldError: of kind BAD_SETTINGS, listing every error.
     """
     values: dict[str, object] = {}
-    faults: list[str] = []
-    for one in settings:
-        text = getattr(flags, one.name, None)
+    errors: list[str] = []
+    for setting in settings:
+        text = getattr(flags, setting.name, None)
         if text is None:
-            text = environment.get(one.variable, one.default)
+            text = environment.get(setting.variable, setting.default)
         if text is None:
-            faults.append(f"{one.flag} ({one.variable}) is missing.")
+            errors.append(f"{setting.flag} ({setting.variable}) is missing.")
             continue
         try:
-            values[one.name] = one.read(text)
+            values[setting.name] = setting.read(text)
         except ValueError as exc:
-            faults.append(f"{one.flag} ({one.variable}) {text!r}: {exc}.")
+            errors.append(
+                f"{setting.flag} ({setting.variable}) {text!r}: {exc}."
+            )
     if is_strict:
-        faults += unknown_variables(settings, environment)
-    if faults:
-        raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(faults))
+        errors += unknown_variables(settings, environment)
+    if errors:
+        raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(errors))
     return values
 
 
 def unknown_variables(
     settings: Sequence[Setting], environment: Mapping[str, str]
 ) -> list[str]:
-    """Returns a fault for each CLAYFIELD_ variable that means nothing."""
-    known = {one.variable for one in settings}
-    known |= {PREFIX + name.upper() for name in COMMAND_LINE_NAMES}
+    """Returns an error text for each CLAYFIELD_ variable of no setting."""
+    recognized = {setting.variable for setting in settings}
+    recognized |= {PREFIX + name.upper() for name in COMMAND_LINE_NAMES}
     return [
         f"{name} is not a setting; remove it or correct its name."
         for name in sorted(environment)
-        if name.startswith(PREFIX) and name not in known
+        if name.startswith(PREFIX) and name not in recognized
     ]
