--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -1,4 +1,7 @@
-"""Bytes and settings that are wrong; the catalogue and the settings page."""
+"""Invalid messages and settings are rejected, and the pages match the code.
+
+The pages are those that list the errors, the log events and the settings.
+"""
 
 import argparse
 import datetime
@@ -50,7 +53,7 @@
 ]
 
 
-def test_messages_survive_the_wire():
+def test_decode_returns_the_encoded_messages():
     assert decode(encode(BATCH)) == BATCH
 
 
@@ -67,7 +70,7 @@
         b"\x00" * (MAX_FRAME_BYTES + 1),
     ],
 )
-def test_bad_frames_are_refused_whole(data):
+def test_decode_rejects_an_invalid_frame(data):
     with pytest.raises(ClayfieldError) as info:
         decode(data)
     assert info.value.kind is Kind.BAD_FRAME
@@ -83,12 +86,12 @@
     assert all(isinstance(one, ANY_MESSAGE) for one in messages)
 
 
-def test_a_newer_peer_may_add_fields():
+def test_decode_ignores_fields_of_a_newer_peer():
     assert decode(encode([("ConfigPull", 5, "new")])) == [ConfigPull(5)]
 
 
 @pytest.mark.parametrize(
-    ("greeting", "is_refused"),
+    ("greeting", "is_rejected"),
     [
         (Greeting("c", "a", 1, "h", halls=("h",)), False),
         (Greeting("c", "a", 1, "h", version=99, halls=("h",)), False),
@@ -97,17 +100,17 @@
         (Greeting("c", "a", 1, "h", halls=("h", "i")), True),
     ],
 )
-def test_greetings_of_foreign_or_old_peers_are_refused(greeting, is_refused):
-    told = decode_greeting(encode_greeting(greeting))
-    if not is_refused:
-        check_greeting(told, "c", ("h",))
+def test_greeting_of_incompatible_peer_is_rejected(greeting, is_rejected):
+    decoded = decode_greeting(encode_greeting(greeting))
+    if not is_rejected:
+        check_greeting(decoded, "c", ("h",))
         return
     with pytest.raises(ClayfieldError):
-        check_greeting(told, "c", ("h",))
+        check_greeting(decoded, "c", ("h",))
 
 
 @pytest.mark.parametrize("kind", Kind)
-def test_every_kind_can_be_told_and_read(kind):
+def test_every_error_kind_is_rendered_parsed_and_documented(kind):
     outcome = render_problem(Problem(kind, "why", Ran.MAYBE, 1500))
     problem = read_problem(outcome.body)
     assert (problem.code, problem.ran) == (kind.code, "maybe")
@@ -119,7 +122,7 @@
     return (ROOT / name).read_text()
 
 
-def test_catalogue_and_code_have_the_same_events():
+def test_events_page_lists_every_event():
     listed = dict(
         re.findall(r"^\| (\d{4}) \| (\w+) \|", _page("docs/events.md"), re.M)
     )
@@ -128,21 +131,25 @@
         emit(Event.READY, surplus=1)
 
 
-def test_the_settings_page_lists_every_setting():
+def test_settings_page_lists_every_daemon_setting():
     page = _page("docs/settings.md")
-    for one in SETTINGS:
-        assert f"| `{one.flag}` | `{one.variable}` |" in page
+    for setting in SETTINGS:
+        assert f"| `{setting.flag}` | `{setting.variable}` |" in page
 
 
-def test_the_daemon_knows_what_the_command_line_reads():
-    assert {one.name for one in COMMAND_LINE} == set(COMMAND_LINE_NAMES)
+def test_daemon_accepts_the_variables_of_the_command_line():
+    assert {s.name for s in COMMAND_LINE} == set(COMMAND_LINE_NAMES)
 
 
-SOUND = {"box": "a", "boxes": "a@h=127.0.0.1:1/control", "data_folder": "d"}
+VALID_FLAGS = {
+    "box": "a",
+    "boxes": "a@h=127.0.0.1:1/control",
+    "data_folder": "d",
+}
 
 
 @pytest.mark.parametrize(
-    ("changes", "environment", "told"),
+    ("changes", "environment", "expected"),
     [
         ({}, {}, ()),
         ({"box": None}, {"CLAYFIELD_BOX": "a"}, ()),
@@ -162,20 +169,20 @@
         ),
     ],
 )
-def test_all_faults_of_the_settings_are_told_at_once(
-    changes, environment, told
+def test_all_errors_in_settings_are_reported_together(
+    changes, environment, expected
 ):
     parser = argparse.ArgumentParser()
     add_flags(parser, SETTINGS)
     flags = parser.parse_args([])
-    for name, value in {**SOUND, **changes}.items():
+    for name, value in {**VALID_FLAGS, **changes}.items():
         setattr(flags, name, value)
-    if not told:
+    if not expected:
         DaemonSettings(read_settings(SETTINGS, flags, environment))
         return
     with pytest.raises(ClayfieldError) as info:
         DaemonSettings(read_settings(SETTINGS, flags, environment))
-    assert all(part in str(info.value) for part in told)
+    assert all(part in str(info.value) for part in expected)
 
 
 def _write_certificate(folder, name, signer=None):
@@ -209,7 +216,7 @@
     return subject, key
 
 
-def test_boxes_talk_over_mutual_tls_and_refuse_a_wrong_name(tmp_path):
+def test_mutual_tls_connects_boxes_and_rejects_a_wrong_name(tmp_path):
     signer = _write_certificate(tmp_path, "authority")
     names = ("h-a", "h-b", "h-c")
     for name in names:
@@ -234,7 +241,7 @@
         extra_of=options(lambda name: name),
     ) as cluster:
         assert all(box.is_ready for box in cluster.boxes.values())
-    wrong = Cluster(
+    mismatched = Cluster(
         tmp_path / "wrong",
         config,
         {"h": 3},
@@ -242,14 +249,14 @@
         extra_of=options(lambda name: "h-b" if name == "h-a" else name),
     )
     try:
-        log = wrong.boxes["h-c"].log
-        wrong.wait_for_log(log, "FRAME_REFUSED")
-        assert not wrong.boxes["h-a"].is_ready
+        log = mismatched.boxes["h-c"].log
+        mismatched.wait_for_log(log, "FRAME_REFUSED")
+        assert not mismatched.boxes["h-a"].is_ready
     finally:
-        wrong.stop()
+        mismatched.stop()
 
 
-def test_the_settings_page_lists_every_setting_of_a_node():
+def test_settings_page_lists_every_node_setting():
     page = _page("docs/settings.md")
-    for one in NODE_SETTINGS:
-        assert f"| `{one.flag}` | `{one.variable}` |" in page
+    for setting in NODE_SETTINGS:
+        assert f"| `{setting.flag}` | `{setting.variable}` |" in page
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through one hall's boxes, on a manual clock."""
+"""Jobs submitted to every box of one hall, on a manual clock."""
 
 import msgspec
 import pytest
@@ -18,16 +18,16 @@
         ("cheap", [60.0] * 40),
     ],
 )
-def test_each_box_answers_whole_and_in_task_order(priority, run_ms):
+def test_every_box_returns_all_answers_in_task_order(priority, run_ms):
     site = Site(SiteShape(HALL), seed=1)
-    # Room for all three jobs at once: refusals are another test's matter.
+    # The queue limit is large enough that none of the three jobs is refused.
     site.settle(msgspec.structs.replace(DEFAULT, limits=Limits(queue_ms=9000)))
-    got = []
+    outcomes = []
     for box in site.boxes:
-        site.submit(box, f"key-{box}", priority, run_ms, got.append)
+        site.submit(box, f"key-{box}", priority, run_ms, outcomes.append)
     site.run(3000)
-    assert [outcome.status for outcome in got] == [200] * 3
-    for outcome in got:
+    assert [outcome.status for outcome in outcomes] == [200] * 3
+    for outcome in outcomes:
         answers = msgspec.json.decode(outcome.body)["answers"]
         assert [answer[1] for answer in answers] == list(range(len(run_ms)))
     assert all(box.core.entry.is_idle for box in site.boxes.values())
