--- a/packages/box/src/clayfield/box/core.py
+++ b/packages/box/src/clayfield/box/core.py
@@ -1,7 +1,7 @@
 """One box as a deterministic state machine.
 
-A box is a machine of the system and stands in a hall (a zone). `BoxCore` takes
-events and clock readings and returns actions; it does no I/O itself. The
+A box is a machine of the system and belongs to a hall (a zone). `BoxCore`
+takes events and clock readings and returns actions; it does no I/O itself. The
 daemon runs it on sockets and a disk; the failure tests and benchmarks run it
 on a manual clock.
 """
@@ -186,8 +186,8 @@
     def is_ready(self) -> bool:
         """Whether the box can serve callers now.
 
-        It can once it has a configuration, knows the leader of its hall's
-        claims and, if it replicates them, votes in their opened group.
+        Requires a configuration, a known leader of the hall's claims and, on a
+        box that replicates them, a vote in their opened group.
         """
         if self._is_stopping or self._has_store_failed:
             return False
