--- a/packages/node/src/clayfield/node/__init__.py
+++ b/packages/node/src/clayfield/node/__init__.py
@@ -1,5 +1,6 @@
-"""The processes of pooled clayfield, and the faces they stand on.
+"""The processes of a pool's nodes and their network protocols.
 
-Each process is imported from its own module, so that neither brings in what
-only the other needs.
+An entry node serves callers and schedules workers; a control node votes in
+the replicated control log. Import each process from its own module, so that
+a node doesn't load what only the other role needs.
 """
--- a/packages/node/src/clayfield/node/control_process.py
+++ b/packages/node/src/clayfield/node/control_process.py
@@ -1,4 +1,9 @@
-"""A control node as a process: operators, workers' statements, the log."""
+"""The process of a control node.
+
+It serves operators and the heartbeats of workers over HTTP, and takes part in
+the replicated control log: it exchanges messages with other nodes and writes
+log records to disk.
+"""
 
 import random
 from collections.abc import Callable
@@ -36,12 +41,12 @@
 from clayfield.wire.messages import Message
 
 ROLE = "control"
-TICKS_A_CHECK = 25
+TICKS_PER_CHECK = 25
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
-# The identity of the stores with which a cluster is first formed; those made
-# later have one of their own.
-FIRST_STORE = 0
-STOP_S = 0.3
+# Identity of the stores that form a new cluster. Fixed, so that each voter can
+# compute the names of the others; later stores use their creation time.
+FIRST_STORE_ID = 0
+STOP_DELAY_S = 0.3
 
 
 class ControlProcess(NodeProcess, StreamListener):
@@ -72,37 +77,35 @@
         self._streams = Streams(
             reactor, NodeGreeting(cfg.cluster, node, ROLE, cfg.hall), self
         )
-        self._server = HttpServer(reactor, self._on_request, _bounds)
+        self._server = HttpServer(reactor, self._on_request, _make_limits)
         self._metrics_server = MetricsServer(
             reactor, ControlMetrics(self._control)
         )
-        self._writes: dict[int, HttpRequest] = {}
-        self._next_write = 0
+        self._pending_requests: dict[int, HttpRequest] = {}
+        self._last_request_id = 0
         self._ticks = 0
         self._is_stopping = False
         self._was_leading = False
         self._is_storing = False
-        self._to_store: list[Persist] = []
+        self._unwritten: list[Persist] = []
 
     def _open_store(self) -> Store:
-        """Opens the store, and fills that of a first voter."""
+        """Opens the store; on first start writes the initial voters to it."""
         own = place_text(self._cfg.peers)
         seeds = [place_text(seed) for seed in self._cfg.seeds]
         is_first = self._cfg.is_first_start and own in seeds
         store = Store(
-            self._cfg.data_folder, identity=FIRST_STORE if is_first else None
+            self._cfg.data_folder, identity=FIRST_STORE_ID if is_first else None
         )
         if is_first and not store.state.instance:
-            voters = tuple(node_name(seed, FIRST_STORE) for seed in seeds)
+            voters = tuple(node_name(seed, FIRST_STORE_ID) for seed in seeds)
             store.write(first_records(voters))
             store.close()
             store = Store(self._cfg.data_folder)
         return store
 
-    # Life.
-
     def start(self) -> None:
-        """Listens and connects."""
+        """Starts to listen and connects to the control nodes."""
         self._streams.start()
         self._server.listen(self._cfg.operators)
         self._metrics_server.start(self._cfg)
@@ -110,12 +113,12 @@
         self._control.learn_addresses(seeds)
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: the log's timers, connections, timeouts."""
         self._control.tick()
         for address in self._control.addresses:
-            self._streams.dial(address)
+            self._streams.connect(address)
         self._ticks += 1
-        if self._ticks % TICKS_A_CHECK == 0:
+        if self._ticks % TICKS_PER_CHECK == 0:
             self._server.check()
         is_leading = self._control.is_sure
         if is_leading != self._was_leading:
@@ -124,7 +127,7 @@
             emit(event, group=ROLE, term=self._control.consensus.term)
 
     def reload(self) -> None:
-        """Reads the settings again; new seeds are dialled."""
+        """Reads the settings again and connects to new seeds."""
         cfg = self._reload_settings()
         emit(Event.RELOADED, node=self._cfg.name)
         self._control.learn_addresses(
@@ -132,14 +135,14 @@
         )
 
     def begin_stop(self) -> None:
-        """Begins a planned stop: leads no more, answers what is open."""
+        """Starts a planned stop: gives up leadership, serves open requests."""
         if self._is_stopping:
             return
         self._is_stopping = True
         self._server.begin_close()
         self._control.consensus.transfer()
         self.kick()
-        self.call_later(STOP_S, self._finish_stop)
+        self.call_later(STOP_DELAY_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
         self._server.stop()
@@ -158,13 +161,13 @@
             case ReadCall():
                 self._on_read(request)
             case StatementCall(info=info):
-                self._on_statement(request, info)
+                self._on_heartbeat(request, info)
             case LeaveCall(name=name):
                 self._control.on_worker_left(name)
                 _reply(request, HttpReply(200))
         self.kick()
 
-    def _on_statement(self, request: HttpRequest, info: object) -> None:
+    def _on_heartbeat(self, request: HttpRequest, info: object) -> None:
         if not self._control.has_entries:
             _reply(request, HttpReply(503))
             return
@@ -172,92 +175,93 @@
         _reply(request, HttpReply(200))
 
     def _on_write(self, request: HttpRequest, call: WriteCall) -> None:
-        self._next_write += 1
-        number = self._next_write
-        is_taken = self._control.write(number, call.version, call.document)
-        if is_taken:
-            self._writes[number] = request
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        is_accepted = self._control.write(
+            request_id, call.version, call.document
+        )
+        if is_accepted:
+            self._pending_requests[request_id] = request
         else:
-            self._send_to_leader(request)
+            self._redirect_to_leader(request)
 
     def _on_read(self, request: HttpRequest) -> None:
         if not self._control.is_sure:
-            self._send_to_leader(request)
+            self._redirect_to_leader(request)
         elif self._control.state.version:
             _reply(request, HttpReply(200, self._control.state.document))
         else:
             _reply(request, HttpReply(503))
 
-    def _send_to_leader(self, request: HttpRequest) -> None:
+    def _redirect_to_leader(self, request: HttpRequest) -> None:
         leader = self._control.leader_address
         if not leader or leader == place_text(self._cfg.peers):
             _reply(request, HttpReply(503))
             return
         host = leader.rpartition(":")[0]
         port = self._cfg.operators[1]
-        reply = self._operators.write_moved(host, port, request.path)
+        reply = self._operators.write_redirect(host, port, request.path)
         _reply(request, reply)
 
-    def _on_settled(self, settled: Settled) -> None:
-        request = self._writes.pop(settled.request, None)
+    def _on_write_finished(self, result: Settled) -> None:
+        request = self._pending_requests.pop(result.request, None)
         if request is None:
             return
-        is_in_force = settled.outcome is WriteOutcome.IN_FORCE
-        _reply(request, HttpReply(200 if is_in_force else 503))
+        is_active = result.outcome is WriteOutcome.IN_FORCE
+        _reply(request, HttpReply(200 if is_active else 503))
 
-    # Streams.
+    # Streams to other nodes.
 
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that a stream to a node is open."""
+        """Handles the opening of the first stream to a node."""
         self._control.on_open(greeting)
         self.kick()
 
     def on_closed(self, node: str) -> None:
-        """Learns that no stream to a node is open any more."""
+        """Handles the loss of the last stream to a node."""
         self._control.on_closed(node)
         self.kick()
 
     def on_messages(self, node: str, messages: list[Message]) -> None:
-        """Takes messages of a node."""
+        """Handles messages from a node."""
         for message in messages:
             self._control.on_message(node, message)
         self.kick()
 
-    # Actions.
-
     def carry_out(self) -> None:
-        """Carries out what the control node decided."""
+        """Runs the actions that the control node's logic has queued."""
         for action in self._control.take_actions():
             match action:
                 case Send(node=node, message=message):
                     self._streams.send(node, message)
                 case Publish(message=message):
-                    self._streams.publish("entry", message)
+                    self._streams.broadcast("entry", message)
                 case Persist():
                     self._persist(action)
                 case Settled():
-                    self._on_settled(action)
+                    self._on_write_finished(action)
 
     def _persist(self, action: Persist) -> None:
-        """Stores records in turn.
+        """Writes an action's records to disk, then sends its messages.
 
-        A message may acknowledge records of earlier actions, so it too waits
-        until all that came before it is on stable storage.
+        A message may acknowledge records of earlier actions, so even an
+        action without records waits until all earlier ones are on disk.
         """
-        is_free = not self._is_storing and not self._to_store
-        if is_free and not action.records:
+        is_idle = not self._is_storing and not self._unwritten
+        if is_idle and not action.records:
             self._after_sync(action)
             return
-        self._to_store.append(action)
+        self._unwritten.append(action)
         self._store_next()
 
     def _store_next(self) -> None:
-        if self._is_storing or not self._to_store:
+        """Writes all waiting actions in a thread, one batch at a time."""
+        if self._is_storing or not self._unwritten:
             return
         self._is_storing = True
-        batch = self._to_store
-        self._to_store = []
-        records = [record for one in batch for record in one.records]
+        batch = self._unwritten
+        self._unwritten = []
+        records = [record for action in batch for record in action.records]
         writing = threads.deferToThread(self._store.write, records)
         writing.addCallbacks(self._on_stored, self._on_store_failed, (batch,))
 
@@ -269,6 +273,7 @@
         self.kick()
 
     def _after_sync(self, action: Persist) -> None:
+        """Sends the messages of an action whose records are on disk."""
         for message in action.messages:
             self._streams.send(message.to, message)
         self._control.on_persisted(action.last_index)
@@ -282,7 +287,7 @@
         self.fail(failure.getErrorMessage())
 
 
-def _bounds() -> HttpBounds:
+def _make_limits() -> HttpBounds:
     return HttpBounds(body_bytes=MAX_DOCUMENT_BYTES)
 
 
--- a/packages/node/src/clayfield/node/entry_process.py
+++ b/packages/node/src/clayfield/node/entry_process.py
@@ -1,4 +1,9 @@
-"""An entry as a process: callers, streams to other nodes, workers."""
+"""The process of an entry node.
+
+It serves callers over HTTP, exchanges messages with other nodes and, while it
+is the holder, sends commands to workers. The holder is the entry node that
+the control nodes grant the scheduling of all workers.
+"""
 
 import os
 from collections.abc import Callable
@@ -50,29 +55,37 @@
 
 ROLE = "entry"
 INCARNATION_BYTES = 6
-TICKS_A_CHECK = 25
-# After a planned stop begins, how long new connections may still come.
-LINGER_MS = 2600.0
-# What is left of the grace when the process ends at the latest.
-MARGIN_MS = 500.0
+TICKS_PER_CHECK = 25
+# Time after the start of a planned stop during which new jobs are accepted:
+# load balancers need it to notice that the node is no longer ready.
+MIN_DRAIN_MS = 2600.0
+# The process ends this long before the grace period is over.
+GRACE_MARGIN_MS = 500.0
+
 
+class _PendingRequest:
+    """A caller's HTTP request that waits for its response.
 
-class _Waiter:
-    """A caller that waits."""
+    Attributes:
+        request: the HTTP request.
+        key: key of the job that it is about.
+        queue: queue of a submitted job, "" for other requests.
+        received_ms: time of its arrival, in ms.
+    """
 
-    __slots__ = ("key", "queue", "request", "since_ms")
+    __slots__ = ("key", "queue", "request", "received_ms")
 
     def __init__(
-        self, request: HttpRequest, key: str, queue: str, since_ms: float
+        self, request: HttpRequest, key: str, queue: str, received_ms: float
     ):
         self.request = request
         self.key = key
         self.queue = queue
-        self.since_ms = since_ms
+        self.received_ms = received_ms
 
 
 class EntryProcess(NodeProcess, StreamListener):
-    """The process of one entry."""
+    """The process of one entry node."""
 
     def __init__(
         self,
@@ -97,7 +110,7 @@
             NodeGreeting(cfg.cluster, self._node, ROLE, cfg.hall),
             self,
         )
-        self._orders = WorkerOrders(
+        self._commands = WorkerOrders(
             reactor,
             self._clock,
             workers,
@@ -105,41 +118,40 @@
             self.kick,
             place_text(cfg.advisor) if cfg.advisor else "",
         )
-        self._server = HttpServer(reactor, self._on_request, self._bounds)
+        self._server = HttpServer(reactor, self._on_request, self._get_limits)
         self._readiness = HttpServer(reactor, self._on_readiness, HttpBounds)
-        self._waiters: dict[int, _Waiter] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._metrics = EntryMetrics(self._entry)
         self._metrics_server = MetricsServer(reactor, self._metrics)
-        self._next_waiter = 0
+        self._last_request_id = 0
         self._ticks = 0
-        self._stop_began_ms: float | None = None
+        self._stop_started_ms: float | None = None
         self._was_ready = False
         self._was_holding = False
 
-    # Life.
-
     def start(self) -> None:
-        """Listens and connects."""
+        """Starts to listen and connects to the control nodes."""
         self._streams.start()
         self._server.listen(self._cfg.callers)
         self._readiness.listen(self._cfg.readiness)
         self._metrics_server.start(self._cfg)
         for seed in self._cfg.seeds:
-            self._streams.dial(place_text(seed))
+            self._streams.connect(place_text(seed))
 
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work: timers, timeouts, log events, stopping."""
         self._entry.tick()
         self._ticks += 1
-        if self._ticks % TICKS_A_CHECK == 0:
+        if self._ticks % TICKS_PER_CHECK == 0:
             self._server.check()
             self._readiness.check()
-            self._orders.drop_unused()
-        self._watch()
-        if self._stop_began_ms is not None:
-            self._go_on_stopping()
+            self._commands.drop_unused()
+        self._log_changes()
+        if self._stop_started_ms is not None:
+            self._continue_stop()
 
-    def _watch(self) -> None:
+    def _log_changes(self) -> None:
+        """Logs changes of readiness and of the holder role."""
         if self._entry.is_ready != self._was_ready:
             self._was_ready = self._entry.is_ready
             emit(Event.READY if self._was_ready else Event.NOT_READY)
@@ -150,42 +162,45 @@
             emit(event, epoch=self._entry.grant.epoch)
 
     def reload(self) -> None:
-        """Reads the settings again; new seeds are dialled."""
+        """Reads the settings again and connects to new seeds."""
         cfg = self._reload_settings()
         emit(Event.RELOADED, node=self._cfg.name)
         for seed in cfg.seeds:
-            self._streams.dial(place_text(seed))
+            self._streams.connect(place_text(seed))
 
     def begin_stop(self) -> None:
-        """Begins a planned stop."""
-        if self._stop_began_ms is not None:
+        """Starts a planned stop: serves open jobs, then ends."""
+        if self._stop_started_ms is not None:
             return
         emit(Event.STOPPING, open_submissions=self._entry.open_jobs)
-        self._stop_began_ms = self._clock.now_ms()
+        self._stop_started_ms = self._clock.now_ms()
         self._entry.begin_stop()
         self._server.begin_close()
         self.kick()
 
-    def _go_on_stopping(self) -> None:
-        passed_ms = self._clock.now_ms() - self._stop_began_ms
-        is_late = passed_ms > self._cfg.grace_ms - MARGIN_MS
-        if not is_late and passed_ms < LINGER_MS:
+    def _continue_stop(self) -> None:
+        """Ends the process once it is drained or the grace period is over."""
+        elapsed_ms = self._clock.now_ms() - self._stop_started_ms
+        is_grace_over = elapsed_ms > self._cfg.grace_ms - GRACE_MARGIN_MS
+        if not is_grace_over and elapsed_ms < MIN_DRAIN_MS:
             return
         self._entry.is_refusing = True
-        if is_late:
+        if is_grace_over:
             self._entry.give_up_all()
             self.carry_out()
         self._server.close_idle()
-        is_free = not self._entry.open_jobs and self._entry.dispatcher is None
-        if is_free or is_late:
+        is_drained = (
+            not self._entry.open_jobs and self._entry.dispatcher is None
+        )
+        if is_drained or is_grace_over:
             self._server.stop()
-            self._orders.close()
+            self._commands.close()
             self._streams.stop()
             self.call_later(0.05, self.end)
 
     # Callers.
 
-    def _bounds(self) -> HttpBounds:
+    def _get_limits(self) -> HttpBounds:
         limits = self._entry.routes.limits
         return HttpBounds(
             limits.header_bytes,
@@ -203,42 +218,49 @@
             case HttpReply():
                 _reply(request, call)
             case SubmitCall(job=job):
-                waiter = self._wait(request, job.key, job.queue)
-                self._entry.submit(job, waiter)
+                request_id = self._add_pending(request, job.key, job.queue)
+                self._entry.submit(job, request_id)
             case CancelCall(key=key):
-                self._entry.callers.cancel(key, self._wait(request, key, ""))
+                self._entry.callers.cancel(
+                    key, self._add_pending(request, key, "")
+                )
             case StateCall(key=key):
-                self._entry.callers.ask_state(key, self._wait(request, key, ""))
+                self._entry.callers.ask_state(
+                    key, self._add_pending(request, key, "")
+                )
             case CountCall(queue=queue):
                 waiting = self._entry.waiting_of(queue)
-                _reply(request, self._callers.write_count(waiting))
+                _reply(request, self._callers.write_count_reply(waiting))
         self.kick()
 
-    def _wait(self, request: HttpRequest, key: str, queue: str) -> int:
-        self._next_waiter += 1
-        number = self._next_waiter
-        self._waiters[number] = _Waiter(
+    def _add_pending(self, request: HttpRequest, key: str, queue: str) -> int:
+        """Registers a request that is answered later; returns its number."""
+        self._last_request_id += 1
+        request_id = self._last_request_id
+        self._pending[request_id] = _PendingRequest(
             request, key, queue, self._clock.now_ms()
         )
-        request.on_gone = lambda: self._on_gone(number)
-        return number
+        request.on_disconnected = lambda: self._on_caller_disconnected(
+            request_id
+        )
+        return request_id
 
-    def _on_gone(self, number: int) -> None:
-        waiter = self._waiters.pop(number, None)
-        if waiter:
-            self._entry.callers.leave(waiter.key, number)
+    def _on_caller_disconnected(self, request_id: int) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending:
+            self._entry.callers.leave(pending.key, request_id)
             self.kick()
 
-    def _answer_job(self, number: int, ended: JobEnded) -> None:
-        waiter = self._waiters.pop(number, None)
-        if waiter is None:
+    def _reply_to_job(self, request_id: int, ended: JobEnded) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return
-        took_ms = self._clock.now_ms() - waiter.since_ms
-        self._metrics.on_answered(waiter.queue, ended, took_ms)
+        took_ms = self._clock.now_ms() - pending.received_ms
+        self._metrics.on_answered(pending.queue, ended, took_ms)
         emit(
             Event.JOB_ANSWERED,
             job=ended.key,
-            queue=waiter.queue,
+            queue=pending.queue,
             verdict=ended.verdict.name.lower(),
             reason=ended.reason.value,
             took_ms=round(took_ms),
@@ -246,32 +268,32 @@
             epoch=self._entry.grant.epoch,
             holder=self._entry.holder,
         )
-        _reply(waiter.request, self._callers.write_ended(ended))
+        _reply(pending.request, self._callers.write_job_reply(ended))
 
-    def _answer_cancel(self, number: int, is_known: bool | None) -> None:
-        waiter = self._waiters.pop(number, None)
-        if waiter:
-            _reply(waiter.request, self._callers.write_cancelled(is_known))
+    def _reply_to_cancel(self, request_id: int, is_known: bool | None) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending:
+            _reply(pending.request, self._callers.write_cancel_reply(is_known))
 
-    def _answer_state(self, number: int, told: StateTold | None) -> None:
-        waiter = self._waiters.pop(number, None)
-        if waiter:
-            _reply(waiter.request, self._callers.write_state(told))
+    def _reply_to_state(self, request_id: int, reply: StateTold | None) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending:
+            _reply(pending.request, self._callers.write_state_reply(reply))
 
-    # Streams.
+    # Streams to other nodes.
 
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that a stream to a node is open."""
+        """Handles the opening of the first stream to a node."""
         self._entry.on_open(greeting)
         self.kick()
 
     def on_closed(self, node: str) -> None:
-        """Learns that no stream to a node is open any more."""
+        """Handles the loss of the last stream to a node."""
         self._entry.on_closed(node)
         self.kick()
 
     def on_messages(self, node: str, messages: list[Message]) -> None:
-        """Takes messages of a node."""
+        """Handles messages from a node."""
         for message in messages:
             self._on_message(node, message)
         self.kick()
@@ -280,7 +302,7 @@
         match message:
             case ControlNodes(addresses=addresses):
                 for address in addresses:
-                    self._streams.dial(address)
+                    self._streams.connect(address)
             case ConfigPush():
                 self._on_config(message)
             case Grant(epoch=epoch, holder=holder):
@@ -297,32 +319,30 @@
         if self._entry.on_config(table):
             emit(Event.CONFIG_IN_FORCE, version=table.version)
 
-    # Actions.
-
     def carry_out(self) -> None:
-        """Carries out what the entry decided."""
+        """Runs the actions that the entry node's logic has queued."""
         for action in self._entry.take_actions():
             match action:
                 case TellEntry(node=node, message=message):
                     self._streams.send(node, message)
                 case StartRun():
-                    self._orders.start(action)
+                    self._commands.start(action)
                 case HoldWorker():
-                    self._orders.hold(action)
+                    self._commands.poll(action)
                 case StopRun():
-                    self._orders.stop(action)
+                    self._commands.stop(action)
                 case PaceRun():
-                    self._orders.pace(action)
+                    self._commands.throttle(action)
                 case AskAdvisor():
-                    self._orders.ask(action)
+                    self._commands.request_advice(action)
                 case AnswerCaller(waiter=waiter, ended=ended):
-                    self._answer_job(waiter, ended)
+                    self._reply_to_job(waiter, ended)
                 case AnswerCancel(waiter=waiter, is_known=is_known):
-                    self._answer_cancel(waiter, is_known)
+                    self._reply_to_cancel(waiter, is_known)
                 case AnswerState(waiter=waiter, told=told):
-                    self._answer_state(waiter, told)
+                    self._reply_to_state(waiter, told)
                 case Dial(node=node):
-                    self._streams.dial(box_of(node))
+                    self._streams.connect(box_of(node))
 
 
 def _reply(request: HttpRequest, reply: HttpReply) -> None:
--- a/packages/node/src/clayfield/node/faces.py
+++ b/packages/node/src/clayfield/node/faces.py
@@ -1,12 +1,13 @@
-"""The faces on which clayfield meets callers, operators and workers.
+"""Interfaces of the protocols for callers, operators and workers.
 
-Each turns bytes into typed calls and typed answers into bytes; none decides.
-The product's own protocols and a platform's are implementations of these.
+An implementation converts HTTP requests to typed calls and typed replies to
+HTTP responses; it makes no decisions. Clayfield's native protocols and those
+of a platform implement these interfaces.
 """
 
 import abc
 
-from clayfield.node.httpclient import CallAnswer
+from clayfield.node.httpclient import CallResult
 from clayfield.node.httpserver import HttpRequest
 from clayfield.pool import (
     Advice,
@@ -24,12 +25,12 @@
 
 
 class HttpReply:
-    """An answer.
+    """An HTTP response to a caller, an operator or a worker.
 
     Attributes:
-        status: the HTTP status.
-        body: JSON, or nothing.
-        headers: by name.
+        status: HTTP status code.
+        body: JSON document, empty for none.
+        headers: pairs of name and value.
     """
 
     __slots__ = ("body", "headers", "status")
@@ -46,7 +47,7 @@
 
 
 class SubmitCall:
-    """A caller submits a job."""
+    """A caller's request to run a job."""
 
     __slots__ = ("job",)
 
@@ -55,7 +56,7 @@
 
 
 class CancelCall:
-    """A caller cancels a job."""
+    """A caller's request to cancel the job with a key."""
 
     __slots__ = ("key",)
 
@@ -64,7 +65,7 @@
 
 
 class StateCall:
-    """A caller asks for a job's state."""
+    """A caller's request for the state of a kept job (a durable one)."""
 
     __slots__ = ("key",)
 
@@ -73,7 +74,7 @@
 
 
 class CountCall:
-    """A caller asks how many jobs of a queue wait."""
+    """A caller's request for the number of a queue's waiting jobs."""
 
     __slots__ = ("queue",)
 
@@ -85,35 +86,48 @@
 
 
 class CallerProtocol(abc.ABC):
-    """How callers speak."""
+    """Decodes the requests of callers and encodes the responses."""
 
     @abc.abstractmethod
     def read_call(self, request: HttpRequest, routes: Routes) -> CallerCall:
-        """Returns what a request asks for, or its answer at once."""
+        """Returns the decoded call of a request.
+
+        Returns:
+            The call, or the response if the request is invalid.
+        """
 
     @abc.abstractmethod
-    def write_ended(self, ended: JobEnded) -> HttpReply:
-        """Returns the answer to the caller of a job."""
+    def write_job_reply(self, ended: JobEnded) -> HttpReply:
+        """Returns the response to the caller of a job."""
 
     @abc.abstractmethod
-    def write_cancelled(self, is_known: bool | None) -> HttpReply:
-        """Returns the answer to a cancel; None where nobody can tell."""
+    def write_cancel_reply(self, is_known: bool | None) -> HttpReply:
+        """Returns the response to a cancel request.
+
+        Args:
+            is_known: whether the job was found, None if no holder replied.
+        """
 
     @abc.abstractmethod
-    def write_state(self, told: StateTold | None) -> HttpReply:
-        """Returns the answer that tells where a kept job stands.
+    def write_state_reply(self, reply: StateTold | None) -> HttpReply:
+        """Returns the response with the state of a kept job.
 
         Args:
-            told: what the holder said, None where nobody can tell.
+            reply: the holder's reply, None if no holder replied.
         """
 
     @abc.abstractmethod
-    def write_count(self, waiting: int) -> HttpReply:
-        """Returns the answer that tells how many jobs wait."""
+    def write_count_reply(self, waiting: int) -> HttpReply:
+        """Returns the response with the number of a queue's waiting jobs."""
 
 
 class WriteCall:
-    """An operator writes a configuration."""
+    """An operator's request to replace the configuration.
+
+    Attributes:
+        version: version number of the new configuration.
+        document: the configuration as the operator sent it.
+    """
 
     __slots__ = ("document", "version")
 
@@ -123,13 +137,13 @@
 
 
 class ReadCall:
-    """An operator reads the configuration."""
+    """An operator's request for the current configuration."""
 
     __slots__ = ()
 
 
 class StatementCall:
-    """A worker makes its statement."""
+    """A worker's heartbeat with its address, state and capacity."""
 
     __slots__ = ("info",)
 
@@ -138,7 +152,7 @@
 
 
 class LeaveCall:
-    """A worker takes its leave."""
+    """A worker's announcement that it leaves the pool."""
 
     __slots__ = ("name",)
 
@@ -150,55 +164,64 @@
 
 
 class OperatorProtocol(abc.ABC):
-    """How operators and announcing workers speak."""
+    """Decodes operators' requests and workers' heartbeats."""
 
     @abc.abstractmethod
     def read_call(self, request: HttpRequest) -> OperatorCall:
-        """Returns what a request asks for, or its answer at once.
+        """Returns the decoded call of a request.
 
-        A configuration that is not valid is answered here.
+        Returns:
+            The call, or the response if the request or the configuration in
+            it is invalid.
         """
 
     @abc.abstractmethod
     def read_table(self, document: bytes) -> RoutingTable:
-        """Returns the routes of a configuration that was found valid."""
+        """Returns the routing table of a valid configuration."""
 
     @abc.abstractmethod
-    def write_moved(self, host: str, port: int, path: str) -> HttpReply:
-        """Returns the answer that sends an operator to another node."""
+    def write_redirect(self, host: str, port: int, path: str) -> HttpReply:
+        """Returns a redirect to the same path at another node."""
 
 
 class WorkerProtocol(abc.ABC):
-    """How workers are told what to do."""
+    """Encodes requests to workers and the advisor, decodes the responses.
+
+    The advisor is an outside service that returns tickets: which workers may
+    run a step of an advised job.
+    """
 
     @abc.abstractmethod
-    def write_start(self, order: StartRun) -> bytes:
+    def write_start(self, command: StartRun) -> bytes:
         """Returns the request that starts a run."""
 
     @abc.abstractmethod
-    def write_stop(self, order: StopRun) -> bytes:
+    def write_stop(self, command: StopRun) -> bytes:
         """Returns the request that stops a run."""
 
     @abc.abstractmethod
-    def write_pace(self, order: PaceRun) -> bytes:
-        """Returns the request that sets the pace of a run."""
+    def write_pace(self, command: PaceRun) -> bytes:
+        """Returns the request that throttles a run."""
 
     @abc.abstractmethod
-    def write_hold(self, order: HoldWorker) -> bytes:
-        """Returns the request that renews a lease and asks what runs."""
+    def write_hold(self, command: HoldWorker) -> bytes:
+        """Returns the long-poll request to a worker.
+
+        It renews the worker's lease and asks for its running and ended runs.
+        """
 
     @abc.abstractmethod
-    def write_question(self, ask: AskAdvisor, address: str) -> bytes:
-        """Returns the request that asks the advisor."""
+    def write_question(self, command: AskAdvisor, address: str) -> bytes:
+        """Returns the request to the advisor for tickets."""
 
     @abc.abstractmethod
-    def read_advice(self, answer: CallAnswer) -> Advice:
-        """Returns what the advisor says."""
+    def read_advice(self, result: CallResult) -> Advice:
+        """Returns the advisor's reply."""
 
     @abc.abstractmethod
-    def read_order_answer(self, answer: CallAnswer) -> OrderAnswer:
-        """Returns how a worker took a start or a stop."""
+    def read_order_answer(self, result: CallResult) -> OrderAnswer:
+        """Returns a worker's reply to a start or stop request."""
 
     @abc.abstractmethod
-    def read_hold_answer(self, answer: CallAnswer) -> HoldAnswer:
-        """Returns what a worker lists."""
+    def read_hold_answer(self, result: CallResult) -> HoldAnswer:
+        """Returns a worker's reply to a poll."""
--- a/packages/node/src/clayfield/node/httpclient.py
+++ b/packages/node/src/clayfield/node/httpclient.py
@@ -15,13 +15,13 @@
 from clayfield.base.settings import address as read_address
 
 CONNECT_TIMEOUT_S = 0.5
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 IDLE_S = 10.0
 # Free connections of all pools that share a bound; descriptors are few.
-MAX_IDLE = 800
+MAX_IDLE_CONNECTIONS = 800
 
 
-class CallEnd(enum.Enum):
+class CallOutcome(enum.Enum):
     """How a call ended.
 
     UNREACHED says that no byte of it has left; LOST that it may have been
@@ -33,7 +33,7 @@
     LOST = "lost"
 
 
-class CallAnswer:
+class CallResult:
     """What came of a call.
 
     Attributes:
@@ -44,7 +44,7 @@
 
     __slots__ = ("body", "end", "status")
 
-    def __init__(self, end: CallEnd, status: int = 0, body: bytes = b""):
+    def __init__(self, end: CallOutcome, status: int = 0, body: bytes = b""):
         self.end = end
         self.status = status
         self.body = body
@@ -63,7 +63,7 @@
         self.idle_since_s = 0.0
 
     def call(self, request: bytes, timeout_s: float) -> defer.Deferred:
-        """Writes a call; the result is a `CallAnswer`."""
+        """Writes a call; the result is a `CallResult`."""
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._waiter = defer.Deferred()
@@ -79,7 +79,7 @@
 
     def _on_timeout(self) -> None:
         self.transport.abortConnection()
-        self._finish(CallAnswer(CallEnd.LOST))
+        self._finish(CallResult(CallOutcome.LOST))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted
         """Takes bytes."""
@@ -90,18 +90,18 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abortConnection()
-            self._finish(CallAnswer(CallEnd.LOST))
+            self._finish(CallResult(CallOutcome.LOST))
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
         """Learns that the connection is gone."""
         self.is_open = False
         self._pool.on_closed(self)
-        self._finish(CallAnswer(CallEnd.LOST))
+        self._finish(CallResult(CallOutcome.LOST))
 
     def on_body(self, body: bytes) -> None:
         """Takes a piece of the body."""
         self._body += body
-        if len(self._body) > MAX_ANSWER_BYTES:
+        if len(self._body) > MAX_RESPONSE_BYTES:
             self.transport.abortConnection()
 
     def on_message_complete(self) -> None:
@@ -113,9 +113,11 @@
             self._pool.on_idle(self)
         else:
             self.transport.loseConnection()
-        self._finish(CallAnswer(CallEnd.ANSWERED, status, bytes(self._body)))
+        self._finish(
+            CallResult(CallOutcome.ANSWERED, status, bytes(self._body))
+        )
 
-    def _finish(self, answer: CallAnswer) -> None:
+    def _finish(self, answer: CallResult) -> None:
         waiter = self._waiter
         if waiter is None:
             return
@@ -180,7 +182,7 @@
         """
         host, port = read_address(address)
         self.reactor = reactor
-        self._idle_of_all = idle_of_all or IdleConnections(MAX_IDLE)
+        self._idle_of_all = idle_of_all or IdleConnections(MAX_IDLE_CONNECTIONS)
         self._endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
@@ -192,7 +194,7 @@
         return _Connection(self)
 
     def call(self, request: bytes, timeout_s: float) -> defer.Deferred:
-        """Makes a call; the result is a `CallAnswer`, never a failure."""
+        """Makes a call; the result is a `CallResult`, never a failure."""
         now_s = self.reactor.seconds()
         while self._idle:
             connection = self._idle.pop()
@@ -213,9 +215,9 @@
         self._open.add(connection)
         return connection.call(request, timeout_s)
 
-    def _on_refused(self, reason: failure.Failure) -> CallAnswer:
+    def _on_refused(self, reason: failure.Failure) -> CallResult:
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
-        return CallAnswer(CallEnd.UNREACHED)
+        return CallResult(CallOutcome.UNREACHED)
 
     def on_idle(self, connection: _Connection) -> None:
         """Takes back a connection that is free again."""
--- a/packages/node/src/clayfield/node/httpserver.py
+++ b/packages/node/src/clayfield/node/httpserver.py
@@ -51,7 +51,7 @@
         path: with its query.
         headers: by name in lower case.
         body: the body.
-        on_gone: called when the caller leaves before it is answered.
+        on_disconnected: called when the caller leaves before it is answered.
         is_answered: whether it is answered already.
     """
 
@@ -61,7 +61,7 @@
         "headers",
         "is_answered",
         "method",
-        "on_gone",
+        "on_disconnected",
         "path",
     )
 
@@ -78,7 +78,7 @@
         self.path = path
         self.headers = headers
         self.body = body
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnected: Callable[[], None] | None = None
         self.is_answered = False
 
     def answer(
@@ -92,12 +92,12 @@
         if self.is_answered:
             return
         self.is_answered = True
-        self._connection.write_answer(
-            self, render_answer(status, body, content_type, headers)
+        self._connection.write_response(
+            self, render_response(status, body, content_type, headers)
         )
 
 
-def render_answer(
+def render_response(
     status: int,
     body: bytes,
     content_type: str,
@@ -150,9 +150,9 @@
         self._waiting.clear()
         self._current = None
         for request in pending:
-            if not request.is_answered and request.on_gone:
+            if not request.is_answered and request.on_disconnected:
                 request.is_answered = True
-                request.on_gone()
+                request.on_disconnected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Takes bytes."""
@@ -237,7 +237,7 @@
         self._current = request
         self._server.handle(request)
 
-    def write_answer(self, request: HttpRequest, answer: bytes) -> None:
+    def write_response(self, request: HttpRequest, answer: bytes) -> None:
         """Writes the answer to the request that is being served."""
         if request is not self._current or self._is_closing:
             return
@@ -262,7 +262,7 @@
             return
         self._is_closing = True
         headers = (("Connection", "close"),)
-        self.transport.write(render_answer(status, b"", TEXT_TYPE, headers))
+        self.transport.write(render_response(status, b"", TEXT_TYPE, headers))
         self.transport.loseConnection()
 
 
--- a/packages/node/src/clayfield/node/metrics.py
+++ b/packages/node/src/clayfield/node/metrics.py
@@ -31,21 +31,23 @@
             registry=self._registry,
         )
 
-    def _set(self, name: str, text: str, value: float) -> None:
+    def _set(self, name: str, help_text: str, value: float) -> None:
         gauge = self._gauges.get(name)
         if gauge is None:
-            gauge = Gauge(f"clayfield_{name}", text, registry=self._registry)
+            gauge = Gauge(
+                f"clayfield_{name}", help_text, registry=self._registry
+            )
             self._gauges[name] = gauge
         gauge.set({}, value)
 
     def render(self) -> bytes:
-        """Returns all metrics as text."""
+        """Returns all metrics as help_text."""
         self._dropped.set({}, lines_dropped())
-        self._read()
+        self._update()
         content, _ = render(self._registry, ["text/plain"])
         return content
 
-    def _read(self) -> None:
+    def _update(self) -> None:
         """Brings the gauges up to date."""
 
 
@@ -55,29 +57,31 @@
     def __init__(self, entry: Entry):
         super().__init__()
         self._entry = entry
-        self._ended = Counter(
+        self._jobs_ended = Counter(
             "clayfield_jobs_ended_total",
             "Jobs answered, by queue, verdict and reason.",
             registry=self._registry,
         )
-        self._response = Histogram(
+        self._response_times = Histogram(
             "clayfield_job_response_ms",
             "From a job's arrival to its answer, by queue.",
             buckets=RESPONSE_BUCKETS,
             registry=self._registry,
         )
 
-    def on_answered(self, queue: str, ended: JobEnded, took_ms: float) -> None:
+    def on_answered(
+        self, queue: str, ended: JobEnded, response_ms: float
+    ) -> None:
         """Takes the answer of a job."""
         labels = {
             "queue": queue,
             "verdict": ended.verdict.name.lower(),
             "reason": ended.reason.value,
         }
-        self._ended.inc(labels)
-        self._response.observe({"queue": queue}, took_ms)
+        self._jobs_ended.inc(labels)
+        self._response_times.observe({"queue": queue}, response_ms)
 
-    def _read(self) -> None:
+    def _update(self) -> None:
         entry = self._entry
         self._set("open_jobs", "Jobs without an answer.", entry.open_jobs)
         self._set("ready", "Whether it takes callers.", int(entry.is_ready))
@@ -105,7 +109,7 @@
         super().__init__()
         self._control = control
 
-    def _read(self) -> None:
+    def _update(self) -> None:
         control = self._control
         self._set("leading", "Whether it leads.", int(control.is_sure))
         self._set("term", "Of the log.", control.consensus.term)
--- a/packages/node/src/clayfield/node/own/callers.py
+++ b/packages/node/src/clayfield/node/own/callers.py
@@ -113,7 +113,7 @@
         except ClayfieldError as exc:
             return _problem(exc.kind, exc.problem.detail)
 
-    def write_ended(self, ended: JobEnded) -> HttpReply:
+    def write_job_reply(self, ended: JobEnded) -> HttpReply:
         """Returns the answer to the caller of a job."""
         match ended.verdict:
             case Verdict.COMPLETED | Verdict.FAILED:
@@ -128,21 +128,21 @@
                 return _problem(kind, ended.reason, ended.retry_after_ms)
         return _problem(Kind.TASK_LOST, ended.reason)
 
-    def write_cancelled(self, is_known: bool | None) -> HttpReply:
+    def write_cancel_reply(self, is_known: bool | None) -> HttpReply:
         """Returns the answer to a cancel."""
         if is_known is None:
             return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
         return HttpReply(200) if is_known else _problem(Kind.NOT_FOUND, "")
 
-    def write_state(self, told: StateTold | None) -> HttpReply:
+    def write_state_reply(self, reply: StateTold | None) -> HttpReply:
         """Returns the answer that tells where a kept job stands."""
-        if told is None or not told.is_sure:
+        if reply is None or not reply.is_sure:
             return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
-        if told.state is None:
+        if reply.state is None:
             return _problem(Kind.NOT_FOUND, "No such job is kept.")
-        return HttpReply(200, msgspec.json.encode(_State(told.state)))
+        return HttpReply(200, msgspec.json.encode(_State(reply.state)))
 
-    def write_count(self, waiting: int) -> HttpReply:
+    def write_count_reply(self, waiting: int) -> HttpReply:
         """Returns the answer that tells how many jobs wait."""
         return HttpReply(200, msgspec.json.encode(_Count(waiting)))
 
--- a/packages/node/src/clayfield/node/own/operators.py
+++ b/packages/node/src/clayfield/node/own/operators.py
@@ -107,7 +107,7 @@
         """Returns the routes of a routing that was found valid."""
         return _to_table(_routing_decoder.decode(document))
 
-    def write_moved(self, host: str, port: int, path: str) -> HttpReply:
+    def write_redirect(self, host: str, port: int, path: str) -> HttpReply:
         """Returns the answer that sends an operator to another node."""
         location = f"http://{host}:{port}{path}"
         return HttpReply(307, headers=(("Location", location),))
--- a/packages/node/src/clayfield/node/own/workers.py
+++ b/packages/node/src/clayfield/node/own/workers.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from clayfield.node.faces import WorkerProtocol
-from clayfield.node.httpclient import CallAnswer, CallEnd
+from clayfield.node.httpclient import CallOutcome, CallResult
 from clayfield.pool import (
     Advice,
     AskAdvisor,
@@ -28,8 +28,8 @@
 HTTP_OK = 200
 
 _ENDS_OF_CALLS = {
-    CallEnd.UNREACHED: OrderResult.UNREACHED,
-    CallEnd.LOST: OrderResult.LOST,
+    CallOutcome.UNREACHED: OrderResult.UNREACHED,
+    CallOutcome.LOST: OrderResult.LOST,
 }
 
 
@@ -180,9 +180,9 @@
         body = QuestionBody(ask.job, ask.time, ask.step, ask.workers)
         return _request(ADVICE_PATH, address, body)
 
-    def read_advice(self, answer: CallAnswer) -> Advice:
+    def read_advice(self, answer: CallResult) -> Advice:
         """Returns what the advisor says."""
-        is_answer = answer.end is CallEnd.ANSWERED
+        is_answer = answer.end is CallOutcome.ANSWERED
         if not is_answer or answer.status != HTTP_OK:
             return Advice(False)
         try:
@@ -191,14 +191,14 @@
             return Advice(False)
         return Advice(True, said.tickets, said.valid_ms)
 
-    def read_order_answer(self, answer: CallAnswer) -> OrderAnswer:
+    def read_order_answer(self, answer: CallResult) -> OrderAnswer:
         """Returns how a worker took a start or a stop."""
         said = _read(answer)
         if isinstance(said, OrderResult):
             return OrderAnswer(said)
         return OrderAnswer(said.result, said.clock_ms)
 
-    def read_hold_answer(self, answer: CallAnswer) -> HoldAnswer:
+    def read_hold_answer(self, answer: CallResult) -> HoldAnswer:
         """Returns what a worker lists."""
         said = _read(answer)
         if isinstance(said, OrderResult):
@@ -217,8 +217,8 @@
         )
 
 
-def _read(answer: CallAnswer) -> WorkerAnswer | OrderResult:
-    if answer.end is not CallEnd.ANSWERED:
+def _read(answer: CallResult) -> WorkerAnswer | OrderResult:
+    if answer.end is not CallOutcome.ANSWERED:
         return _ENDS_OF_CALLS[answer.end]
     if answer.status != HTTP_OK:
         return OrderResult.UNHEALTHY
--- a/packages/node/src/clayfield/node/process.py
+++ b/packages/node/src/clayfield/node/process.py
@@ -27,7 +27,7 @@
         self.failure = ""
         self._name = name
         self._role = role
-        self._is_due = False
+        self._is_scheduled = False
         self._is_ended = False
 
     def run(self) -> None:
@@ -37,13 +37,13 @@
         )
         gc.freeze()
         gc.set_threshold(GC_ALLOCATIONS)
-        reactor.callWhenRunning(self._begin)
+        reactor.callWhenRunning(self._on_running)
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, _calling(self.begin_stop))
-        signal.signal(signal.SIGHUP, _calling(self.reload))
+            signal.signal(number, _make_signal_handler(self.begin_stop))
+        signal.signal(signal.SIGHUP, _make_signal_handler(self.reload))
         reactor.run(installSignalHandlers=False)
 
-    def _begin(self) -> None:
+    def _on_running(self) -> None:
         try:
             self.start()
         except Exception as exc:
@@ -56,25 +56,25 @@
         if self._is_ended:
             return
         reactor.callLater(TICK_S, self._tick)
-        self._contain(self.tick)
+        self._run_guarded(self.tick)
         self.kick()
 
-    def _contain(self, act: Callable[[], None]) -> None:
+    def _run_guarded(self, function: Callable[[], None]) -> None:
         """Does something; an unexpected error is logged and goes no further."""
         try:
-            act()
+            function()
         except Exception:
             emit(Event.INTERNAL, error=traceback.format_exc(limit=-4))
 
     def kick(self) -> None:
         """Has what was decided carried out in this turn of the loop."""
-        if not self._is_due:
-            self._is_due = True
-            reactor.callLater(0, self._carry_out)
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            reactor.callLater(0, self._run_actions)
 
-    def _carry_out(self) -> None:
-        self._is_due = False
-        self._contain(self.carry_out)
+    def _run_actions(self) -> None:
+        self._is_scheduled = False
+        self._run_guarded(self.carry_out)
 
     def fail(self, reason: str) -> None:
         """Ends the process because it cannot go on."""
@@ -91,10 +91,10 @@
         reactor.stop()
 
     def call_later(
-        self, delay_s: float, act: Callable[[], None]
+        self, delay_s: float, function: Callable[[], None]
     ) -> interfaces.IDelayedCall:
         """Has something done later."""
-        return reactor.callLater(delay_s, act)
+        return reactor.callLater(delay_s, function)
 
     @abc.abstractmethod
     def start(self) -> None:
@@ -102,7 +102,7 @@
 
     @abc.abstractmethod
     def tick(self) -> None:
-        """Lets time act."""
+        """Lets time function."""
 
     @abc.abstractmethod
     def carry_out(self) -> None:
@@ -124,5 +124,7 @@
         emit(Event.INTERNAL, error=failure.getTraceback(elideFrameworkCode=1))
 
 
-def _calling(act: Callable[[], None]) -> Callable[[int, object], None]:
-    return lambda number, frame: reactor.callFromThread(act)
+def _make_signal_handler(
+    function: Callable[[], None],
+) -> Callable[[int, object], None]:
+    return lambda number, frame: reactor.callFromThread(function)
--- a/packages/node/src/clayfield/node/streams.py
+++ b/packages/node/src/clayfield/node/streams.py
@@ -1,9 +1,10 @@
-"""Streams of frames between nodes, over TCP, in both directions.
+"""Bidirectional streams of message frames between nodes, over TCP.
 
-A node dials the addresses it is told to and keeps dialling; whoever dials,
-both sides may send. Each side speaks at least every `KEEPALIVE_S`; a stream
-on which nothing was heard for `SILENCE_S` is aborted. What cannot be sent is
-dropped: every decision that needs an answer asks again.
+A node connects to the addresses that it is given and reconnects after each
+failure; on every stream both sides may send. Each side sends a keepalive
+frame every `KEEPALIVE_INTERVAL_S`, and a stream on which nothing arrives for
+`PEER_TIMEOUT_S` is aborted. A message that can't be sent is dropped: whoever
+needs a reply sends the message again.
 """
 
 import abc
@@ -28,54 +29,60 @@
 from clayfield.wire.messages import Message
 
 CONNECT_TIMEOUT_S = 0.8
-KEEPALIVE_S = 0.2
-SILENCE_S = 1.1
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.4
+KEEPALIVE_INTERVAL_S = 0.2
+PEER_TIMEOUT_S = 1.1
+MIN_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.4
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
-KEEPALIVE = b""
+KEEPALIVE_FRAME = b""
 
 
 class StreamListener(abc.ABC):
-    """Who hears of streams and of what arrives on them."""
+    """Handles the events of the streams to other nodes."""
 
     @abc.abstractmethod
     def on_open(self, greeting: NodeGreeting) -> None:
-        """Learns that a stream to a node is open."""
+        """Handles the opening of the first stream to a node."""
 
     @abc.abstractmethod
     def on_closed(self, node: str) -> None:
-        """Learns that no stream to a node is open any more."""
+        """Handles the loss of the last stream to a node."""
 
     @abc.abstractmethod
     def on_messages(self, node: str, messages: list[Message]) -> None:
-        """Takes messages of a node."""
+        """Handles messages from a node."""
 
 
 class _Stream(Int32StringReceiver):
-    """One connection, dialled or accepted."""
+    """One connection, opened by this node or accepted from a peer.
+
+    Attributes:
+        address: IP:PORT that this node connected to, "" if it accepted.
+        node: name of the peer, "" before its greeting has arrived.
+        last_received_s: time of the last data from the peer, in s.
+    """
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
-    def __init__(self, streams: "Streams", dialled: str = ""):
+    def __init__(self, streams: "Streams", address: str = ""):
         self._streams = streams
-        self.dialled = dialled
+        self.address = address
         self.node = ""
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
         self._queue: list[Message] = []
         self._is_flush_due = False
         self._unsent_bytes = 0
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's name
-        """Greets the peer."""
+        """Sends this node's greeting."""
         self.transport.setTcpNoDelay(True)
-        self.heard_s = self._streams.reactor.seconds()
+        self.last_received_s = self._streams.reactor.seconds()
         self.sendString(encode_node_greeting(self._streams.greeting))
         self._streams.on_connected(self)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Takes a frame; one that is bad ends the stream."""
-        self.heard_s = self._streams.reactor.seconds()
+        """Handles a frame; an invalid one aborts the connection."""
+        self.last_received_s = self._streams.reactor.seconds()
         if not string:
             return
         try:
@@ -83,31 +90,36 @@
                 messages = decode_batch(string)
                 self._streams.listener.on_messages(self.node, messages)
             else:
-                self._greet(string)
+                self._on_greeting(string)
         except ClayfieldError as exc:
             emit(Event.FRAME_REFUSED, peer=self.node, error=str(exc))
             self.transport.abortConnection()
 
-    def _greet(self, string: bytes) -> None:
+    def _on_greeting(self, string: bytes) -> None:
         greeting = decode_node_greeting(string)
         if greeting.cluster != self._streams.greeting.cluster:
             raise ClayfieldError(
-                Kind.BAD_FRAME, f"peer is of cluster {greeting.cluster!r}."
+                Kind.BAD_FRAME,
+                f"peer is in another cluster, {greeting.cluster!r}.",
             )
         self.node = greeting.node
         self._streams.on_greeted(self, greeting)
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Learns that the connection is gone."""
+        """Handles the loss of the connection."""
         self._streams.on_lost(self, reason)
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Refuses a frame that is too large."""
-        emit(Event.FRAME_REFUSED, peer=self.node, error=f"{length} bytes")
+        """Aborts the connection on a frame over `MAX_LENGTH` bytes."""
+        emit(
+            Event.FRAME_REFUSED,
+            peer=self.node,
+            error=f"{length} bytes exceed the limit",
+        )
         self.transport.abortConnection()
 
     def send(self, message: Message) -> None:
-        """Queues a message for the frame of this turn of the loop."""
+        """Queues a message; those of one loop iteration share a frame."""
         self._queue.append(message)
         if not self._is_flush_due:
             self._is_flush_due = True
@@ -121,16 +133,16 @@
             self.sendString(encode_batch(batch))
 
     def keep_alive(self) -> None:
-        """Speaks, and ends a stream whose peer has been silent too long."""
-        silence_s = self._streams.reactor.seconds() - self.heard_s
-        if silence_s > SILENCE_S:
+        """Sends a keepalive frame, or aborts if the peer timed out."""
+        idle_s = self._streams.reactor.seconds() - self.last_received_s
+        if idle_s > PEER_TIMEOUT_S:
             self.transport.abortConnection()
         else:
-            self.sendString(KEEPALIVE)
+            self.sendString(KEEPALIVE_FRAME)
 
 
-class _Dial:
-    """Keeps one address connected."""
+class _Connector:
+    """Keeps a connection to one address open."""
 
     def __init__(self, streams: "Streams", address: str):
         self.address = address
@@ -139,39 +151,39 @@
         self._endpoint = TCP4ClientEndpoint(
             streams.reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_delay_s = MIN_RETRY_DELAY_S
 
     def start(self) -> None:
-        """Connects."""
+        """Starts an attempt to connect."""
         if self._streams.is_stopped:
             return
         factory = protocol.Factory.forProtocol(
             lambda: _Stream(self._streams, self.address)
         )
         connecting = self._endpoint.connect(factory)
-        connecting.addCallbacks(self._on_connected, self._on_refused)
+        connecting.addCallbacks(self._on_connected, self._on_connect_failed)
 
     def _on_connected(self, _: _Stream) -> None:
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_delay_s = MIN_RETRY_DELAY_S
 
-    def _on_refused(self, reason: failure.Failure) -> None:
+    def _on_connect_failed(self, reason: failure.Failure) -> None:
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
-        self.again()
+        self.retry()
 
-    def again(self) -> None:
-        """Connects after a pause that grows with each failure."""
-        self._streams.reactor.callLater(self._pause_s, self.start)
-        self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
+    def retry(self) -> None:
+        """Schedules a new attempt, with exponential backoff."""
+        self._streams.reactor.callLater(self._retry_delay_s, self.start)
+        self._retry_delay_s = min(self._retry_delay_s * 2, MAX_RETRY_DELAY_S)
 
 
 class Streams:
-    """All streams of this node.
+    """All streams between this node and other nodes.
 
     Attributes:
-        reactor: of twisted.
-        greeting: who this node is.
-        listener: hears of what happens.
-        is_stopped: whether no more streams are to be opened.
+        reactor: the twisted reactor.
+        greeting: name, role, hall and cluster of this node.
+        listener: handler of stream events.
+        is_stopped: whether the streams are closed for good.
     """
 
     def __init__(
@@ -184,67 +196,71 @@
         self.greeting = greeting
         self.listener = listener
         self.is_stopped = False
-        self._dials: dict[str, _Dial] = {}
-        self._connections: set[_Stream] = set()
+        self._connectors: dict[str, _Connector] = {}
+        self._open_streams: set[_Stream] = set()
         self._by_node: dict[str, list[_Stream]] = {}
         self._roles: dict[str, str] = {}
         self._port: interfaces.IListeningPort | None = None
-        self._keeping = task.LoopingCall(self._keep_alive)
+        self._keepalive_loop = task.LoopingCall(self._keep_alive)
 
     def start(self) -> None:
-        """Listens at this node's own address.
+        """Listens at this node's address and starts the keepalive timer.
 
         Raises:
-            twisted.internet.error.CannotListenError: the address is taken.
+            twisted.internet.error.CannotListenError: the address is in use.
         """
         host, port = read_address(box_of(self.greeting.node))
         factory = protocol.Factory.forProtocol(lambda: _Stream(self))
         self._port = self.reactor.listenTCP(port, factory, interface=host)
-        self._keeping.start(KEEPALIVE_S, now=False)
+        self._keepalive_loop.start(KEEPALIVE_INTERVAL_S, now=False)
 
     def stop(self) -> None:
-        """Ends all streams."""
+        """Closes all streams and stops listening."""
         self.is_stopped = True
-        if self._keeping.running:
-            self._keeping.stop()
-        for stream in list(self._connections):
+        if self._keepalive_loop.running:
+            self._keepalive_loop.stop()
+        for stream in list(self._open_streams):
             stream.transport.loseConnection()
         if self._port:
             self._port.stopListening()
 
-    def dial(self, address: str) -> None:
-        """Keeps an address connected from now on."""
-        if address in self._dials or address == box_of(self.greeting.node):
+    def connect(self, address: str) -> None:
+        """Opens a stream to an address and reopens it whenever it closes."""
+        if address in self._connectors or address == box_of(self.greeting.node):
             return
-        dial = self._dials[address] = _Dial(self, address)
-        dial.start()
+        connector = self._connectors[address] = _Connector(self, address)
+        connector.start()
 
     def send(self, node: str, message: Message) -> bool:
-        """Sends a message to a node; False when no stream to it is open."""
+        """Sends a message to a node.
+
+        Returns:
+            Whether a stream to the node was open.
+        """
         streams = self._by_node.get(node)
         if not streams:
             return False
         streams[-1].send(message)
         return True
 
-    def publish(self, role: str, message: Message) -> None:
+    def broadcast(self, role: str, message: Message) -> None:
         """Sends a message to every connected node of a role."""
         for node, streams in self._by_node.items():
             if self._roles[node] == role:
                 streams[-1].send(message)
 
     def _keep_alive(self) -> None:
-        for stream in list(self._connections):
+        for stream in list(self._open_streams):
             stream.keep_alive()
 
-    # Calls of the streams.
+    # Callbacks of `_Stream`.
 
     def on_connected(self, stream: _Stream) -> None:
-        """Learns that a connection is made."""
-        self._connections.add(stream)
+        """Registers a connection whose peer is not identified yet."""
+        self._open_streams.add(stream)
 
     def on_greeted(self, stream: _Stream, greeting: NodeGreeting) -> None:
-        """Learns who is at the other end of a connection."""
+        """Registers a connection under the node that greeted on it."""
         streams = self._by_node.setdefault(greeting.node, [])
         streams.append(stream)
         self._roles[greeting.node] = greeting.role
@@ -253,11 +269,11 @@
             self.listener.on_open(greeting)
 
     def on_lost(self, stream: _Stream, reason: failure.Failure) -> None:
-        """Learns that a connection is gone."""
-        self._connections.discard(stream)
-        dial = self._dials.get(stream.dialled)
-        if dial and not self.is_stopped:
-            dial.again()
+        """Removes a connection and schedules a reconnect."""
+        self._open_streams.discard(stream)
+        connector = self._connectors.get(stream.address)
+        if connector and not self.is_stopped:
+            connector.retry()
         streams = self._by_node.get(stream.node, [])
         if stream not in streams:
             return
--- a/packages/node/src/clayfield/node/workers.py
+++ b/packages/node/src/clayfield/node/workers.py
@@ -1,4 +1,8 @@
-"""Carries the holder's orders to workers, and their answers back."""
+"""Sends the holder's commands to workers over HTTP and returns the replies.
+
+The holder is the entry node that schedules the workers; it also requests
+tickets from the advisor here, which say which workers may run a step.
+"""
 
 from collections.abc import Callable
 
@@ -7,8 +11,8 @@
 from clayfield.base import Clock
 from clayfield.node.faces import WorkerProtocol
 from clayfield.node.httpclient import (
-    MAX_IDLE,
-    CallAnswer,
+    MAX_IDLE_CONNECTIONS,
+    CallResult,
     ConnectionPool,
     IdleConnections,
 )
@@ -22,21 +26,25 @@
     StopRun,
 )
 
-# How long an order may go without an answer before it counts as lost.
-ORDER_TIMEOUT_S = 0.15
-# What a hold may take beyond the time that it is told to wait.
-HOLD_SLACK_S = 0.25
-# How long the advisor may take, which answers one question after the other.
+# Time after which a command without a response counts as lost.
+COMMAND_TIMEOUT_S = 0.15
+# Added to the wait time of a poll to get its timeout.
+POLL_MARGIN_S = 0.25
+# The advisor handles requests one after the other, so it may be slow.
 ADVICE_TIMEOUT_S = 5.0
 MS_PER_S = 1000.0
-IDLE_POOL_S = 10.0
+POOL_IDLE_S = 10.0
 
-Kick = Callable[[], None]
-OnAnswer = Callable[[CallAnswer], None]
+Callback = Callable[[], None]
+OnResult = Callable[[CallResult], None]
 
 
 class WorkerOrders:
-    """Sends orders; the entry hears of each answer exactly once."""
+    """Sends commands and passes each reply to the entry node exactly once.
+
+    Replies include failed calls. A throttle command is the exception: its
+    effect shows in the next poll, so its reply is dropped.
+    """
 
     def __init__(
         self,
@@ -44,105 +52,117 @@
         clock: Clock,
         protocol: WorkerProtocol,
         entry: Entry,
-        kick: Kick,
+        kick: Callback,
         advisor: str = "",
     ):
+        """Creates it without connections.
+
+        Args:
+            reactor: the twisted reactor.
+            clock: source of the send times of polls.
+            protocol: encoder of requests and decoder of responses.
+            entry: handler of the replies.
+            kick: called after each reply, to run the resulting actions.
+            advisor: IP:PORT of the advisor, "" for none.
+        """
         self._reactor = reactor
         self._clock = clock
         self._protocol = protocol
         self._entry = entry
         self._kick = kick
-        self._advisor = advisor
+        self._advisor_address = advisor
         self._pools: dict[str, ConnectionPool] = {}
-        self._idle = IdleConnections(MAX_IDLE)
-        self._used_s: dict[str, float] = {}
+        self._idle_connections = IdleConnections(MAX_IDLE_CONNECTIONS)
+        self._last_used_s: dict[str, float] = {}
 
-    def start(self, order: StartRun) -> None:
-        """Sends a start."""
+    def start(self, command: StartRun) -> None:
+        """Sends a request to start a run."""
 
-        def on_answer(answer: CallAnswer) -> None:
+        def on_result(result: CallResult) -> None:
             self._entry.on_start_answer(
-                order.worker,
-                order.task_id,
-                order.number,
-                self._protocol.read_order_answer(answer),
+                command.worker,
+                command.task_id,
+                command.number,
+                self._protocol.read_order_answer(result),
             )
             self._kick()
 
-        request = self._protocol.write_start(order)
-        self._call(order.address, request, ORDER_TIMEOUT_S, on_answer)
+        request = self._protocol.write_start(command)
+        self._call(command.address, request, COMMAND_TIMEOUT_S, on_result)
 
-    def stop(self, order: StopRun) -> None:
-        """Sends a stop."""
+    def stop(self, command: StopRun) -> None:
+        """Sends a request to stop a run."""
 
-        def on_answer(answer: CallAnswer) -> None:
+        def on_result(result: CallResult) -> None:
             self._entry.on_stop_answer(
-                order.worker,
-                order.task_id,
-                order.number,
-                self._protocol.read_order_answer(answer),
+                command.worker,
+                command.task_id,
+                command.number,
+                self._protocol.read_order_answer(result),
             )
             self._kick()
 
-        request = self._protocol.write_stop(order)
-        self._call(order.address, request, ORDER_TIMEOUT_S, on_answer)
+        request = self._protocol.write_stop(command)
+        self._call(command.address, request, COMMAND_TIMEOUT_S, on_result)
 
-    def pace(self, order: PaceRun) -> None:
-        """Sends a change of pace; the next hold tells what came of it."""
-        request = self._protocol.write_pace(order)
-        self._call(order.address, request, ORDER_TIMEOUT_S, _ignore)
+    def throttle(self, command: PaceRun) -> None:
+        """Sends a request to throttle a run."""
+        request = self._protocol.write_pace(command)
+        self._call(command.address, request, COMMAND_TIMEOUT_S, _ignore_result)
 
-    def hold(self, order: HoldWorker) -> None:
-        """Sends a hold."""
+    def poll(self, command: HoldWorker) -> None:
+        """Sends a poll: renews the lease and lists the worker's runs."""
         sent_ms = self._clock.now_ms()
 
-        def on_answer(answer: CallAnswer) -> None:
+        def on_result(result: CallResult) -> None:
             self._entry.on_hold_answer(
-                order.worker,
-                order.call,
+                command.worker,
+                command.call,
                 sent_ms,
-                self._protocol.read_hold_answer(answer),
+                self._protocol.read_hold_answer(result),
             )
             self._kick()
 
-        request = self._protocol.write_hold(order)
-        timeout_s = order.wait_ms / MS_PER_S + HOLD_SLACK_S
-        self._call(order.address, request, timeout_s, on_answer)
+        request = self._protocol.write_hold(command)
+        timeout_s = command.wait_ms / MS_PER_S + POLL_MARGIN_S
+        self._call(command.address, request, timeout_s, on_result)
 
-    def ask(self, question: AskAdvisor) -> None:
-        """Asks the advisor; where there is none, that is the answer."""
+    def request_advice(self, command: AskAdvisor) -> None:
+        """Requests tickets; without an advisor the reply is negative."""
 
-        def on_answer(answer: CallAnswer) -> None:
-            advice = self._protocol.read_advice(answer)
-            self._entry.on_advice(question.call, advice)
+        def on_result(result: CallResult) -> None:
+            advice = self._protocol.read_advice(result)
+            self._entry.on_advice(command.call, advice)
             self._kick()
 
-        if not self._advisor:
-            self._entry.on_advice(question.call, Advice(False))
+        if not self._advisor_address:
+            self._entry.on_advice(command.call, Advice(False))
             return
-        request = self._protocol.write_question(question, self._advisor)
-        self._call(self._advisor, request, ADVICE_TIMEOUT_S, on_answer)
+        request = self._protocol.write_question(command, self._advisor_address)
+        self._call(self._advisor_address, request, ADVICE_TIMEOUT_S, on_result)
 
     def _call(
         self,
         address: str,
         request: bytes,
         timeout_s: float,
-        on_answer: OnAnswer,
+        on_result: OnResult,
     ) -> None:
         pool = self._pools.get(address)
         if pool is None:
-            pool = ConnectionPool(self._reactor, address, self._idle)
+            pool = ConnectionPool(
+                self._reactor, address, self._idle_connections
+            )
             self._pools[address] = pool
-        self._used_s[address] = self._reactor.seconds()
-        pool.call(request, timeout_s).addCallback(on_answer)
+        self._last_used_s[address] = self._reactor.seconds()
+        pool.call(request, timeout_s).addCallback(on_result)
 
     def drop_unused(self) -> None:
-        """Closes connections to addresses that were not used for long."""
-        since_s = self._reactor.seconds() - IDLE_POOL_S
-        for address, used_s in list(self._used_s.items()):
-            if used_s < since_s:
-                del self._used_s[address]
+        """Closes the connections to addresses unused for `POOL_IDLE_S`."""
+        unused_since_s = self._reactor.seconds() - POOL_IDLE_S
+        for address, last_used_s in list(self._last_used_s.items()):
+            if last_used_s < unused_since_s:
+                del self._last_used_s[address]
                 self._pools.pop(address).close()
 
     def close(self) -> None:
@@ -151,5 +171,5 @@
             pool.close()
 
 
-def _ignore(answer: CallAnswer) -> None:
-    """Takes an answer that tells nothing."""
+def _ignore_result(result: CallResult) -> None:
+    """Drops the result of a throttle command."""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,7 +23,7 @@
     SubmitCall,
     WriteCall,
 )
-from clayfield.node.httpclient import CallAnswer, CallEnd
+from clayfield.node.httpclient import CallOutcome, CallResult
 from clayfield.node.httpserver import HttpRequest
 from clayfield.node.own import OwnCallers, OwnOperators
 from clayfield.pool import (
@@ -214,7 +214,7 @@
 )
 def test_how_ends_are_told(verdict, reason, status, retry):
     ended = JobEnded(KEY, verdict, reason, 1200.0)
-    reply = PlatformCallers().write_ended(ended)
+    reply = PlatformCallers().write_job_reply(ended)
     assert reply.status == status
     assert dict(reply.headers).get("Retry-After") == retry
 
@@ -230,7 +230,7 @@
     ],
 )
 def test_how_states_are_told(told, status, state):
-    reply = PlatformCallers().write_state(told)
+    reply = PlatformCallers().write_state_reply(told)
     assert reply.status == status
     if state:
         assert json.loads(reply.body) == {"state": state}
@@ -325,8 +325,8 @@
     assert line == "POST /-/advise HTTP/1.1"
     assert "Clayfield-Target-Instance" not in headers
     assert body == {"step": f"{KEY}.0.1", "workers": ["i-1", "i-2"]}
-    good = CallAnswer(
-        CallEnd.ANSWERED, 200, b'{"good":[["i-1","c81e"]],"valid_ms":3000}'
+    good = CallResult(
+        CallOutcome.ANSWERED, 200, b'{"good":[["i-1","c81e"]],"valid_ms":3000}'
     )
     advice = protocol.read_advice(good)
     assert (advice.is_answer, advice.tickets) == (True, {"i-1": "c81e"})
@@ -336,10 +336,10 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        CallAnswer(CallEnd.ANSWERED, 429, b""),
-        CallAnswer(CallEnd.ANSWERED, 200, b"{"),
-        CallAnswer(CallEnd.LOST),
-        CallAnswer(CallEnd.UNREACHED),
+        CallResult(CallOutcome.ANSWERED, 429, b""),
+        CallResult(CallOutcome.ANSWERED, 200, b"{"),
+        CallResult(CallOutcome.LOST),
+        CallResult(CallOutcome.UNREACHED),
     ],
 )
 def test_an_advisor_that_is_busy_or_silent_gives_no_advice(answer):
@@ -382,7 +382,7 @@
     ],
 )
 def test_answers_to_orders_are_read(status, body, result):
-    answer = CallAnswer(CallEnd.ANSWERED, status, json.dumps(body).encode())
+    answer = CallResult(CallOutcome.ANSWERED, status, json.dumps(body).encode())
     assert PlatformWorkers().read_order_answer(answer).result is result
 
 
@@ -392,7 +392,7 @@
         "running": [[f"{KEY}.0.1.17", 2, "00000bb8", 41]],
         "ended": [[58, f"{KEY}.0.1.9", 1, "done", ""]],
     }
-    answer = CallAnswer(CallEnd.ANSWERED, 200, json.dumps(body).encode())
+    answer = CallResult(CallOutcome.ANSWERED, 200, json.dumps(body).encode())
     held = PlatformWorkers().read_hold_answer(answer)
     assert held.result is OrderResult.DONE
     assert held.running[0].task_id == TASK
@@ -400,7 +400,7 @@
     ended = held.ended[0]
     assert (ended.sequence, ended.kind) == (58, EndKind.DONE)
     assert ended.task_id == read_task(f"{KEY}.0.1.9")
-    cut = CallAnswer(CallEnd.ANSWERED, 200, b'{"clock_ms":')
+    cut = CallResult(CallOutcome.ANSWERED, 200, b'{"clock_ms":')
     assert PlatformWorkers().read_hold_answer(cut).result is OrderResult.LOST
 
 
