--- a/packages/node/src/clayfield/node/control_process.py
+++ b/packages/node/src/clayfield/node/control_process.py
@@ -119,7 +119,7 @@
             self._streams.connect(address)
         self._ticks += 1
         if self._ticks % TICKS_PER_CHECK == 0:
-            self._server.check()
+            self._server.check_timeouts()
         is_leading = self._control.is_sure
         if is_leading != self._was_leading:
             self._was_leading = is_leading
--- a/packages/node/src/clayfield/node/entry_process.py
+++ b/packages/node/src/clayfield/node/entry_process.py
@@ -143,8 +143,8 @@
         self._entry.tick()
         self._ticks += 1
         if self._ticks % TICKS_PER_CHECK == 0:
-            self._server.check()
-            self._readiness.check()
+            self._server.check_timeouts()
+            self._readiness.check_timeouts()
             self._commands.drop_unused()
         self._log_changes()
         if self._stop_started_ms is not None:
--- a/packages/node/src/clayfield/node/httpclient.py
+++ b/packages/node/src/clayfield/node/httpclient.py
@@ -1,8 +1,8 @@
-"""Calls to workers over persistent HTTP/1.1 connections.
+"""HTTP/1.1 client with persistent connections, for calls to workers.
 
-A connection carries one call at a time. A call that gets no answer within
-its time is given up and its connection aborted; whether it was carried out
-is then not known.
+A connection carries one call at a time. A call without a response within its
+timeout is lost and its connection is aborted; whether the peer processed it
+is then unknown.
 """
 
 import enum
@@ -16,16 +16,17 @@
 
 CONNECT_TIMEOUT_S = 0.5
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-IDLE_S = 10.0
-# Free connections of all pools that share a bound; descriptors are few.
+IDLE_TIMEOUT_S = 10.0
+# Limit on idle connections of all pools that share it: saves descriptors.
 MAX_IDLE_CONNECTIONS = 800
 
 
 class CallOutcome(enum.Enum):
     """How a call ended.
 
-    UNREACHED says that no byte of it has left; LOST that it may have been
-    carried out, or may yet be.
+    ANSWERED: a response arrived. UNREACHED: the connection failed, so nothing
+    was sent. LOST: no valid response arrived; the peer may have processed
+    the request or may still do so.
     """
 
     ANSWERED = "answered"
@@ -34,46 +35,53 @@
 
 
 class CallResult:
-    """What came of a call.
+    """The result of a call.
 
     Attributes:
-        end: how it ended.
-        status: the HTTP status, 0 without an answer.
-        body: the answer's body.
+        outcome: how the call ended.
+        status: HTTP status code, 0 without a response.
+        body: body of the response, empty without one.
     """
 
-    __slots__ = ("body", "end", "status")
+    __slots__ = ("body", "outcome", "status")
 
-    def __init__(self, end: CallOutcome, status: int = 0, body: bytes = b""):
-        self.end = end
+    def __init__(
+        self, outcome: CallOutcome, status: int = 0, body: bytes = b""
+    ):
+        self.outcome = outcome
         self.status = status
         self.body = body
 
 
 class _Connection(protocol.Protocol):
-    """One connection."""
+    """One connection, also the callback target of its response parser.
+
+    Attributes:
+        is_open: whether it can carry another call.
+        idle_since_s: time at which its last call ended, in s.
+    """
 
     def __init__(self, pool: "ConnectionPool"):
         self._pool = pool
         self._parser: httptools.HttpResponseParser | None = None
         self._body = bytearray()
-        self._waiter: defer.Deferred | None = None
+        self._pending: defer.Deferred | None = None
         self._timer: interfaces.IDelayedCall | None = None
         self.is_open = True
         self.idle_since_s = 0.0
 
     def call(self, request: bytes, timeout_s: float) -> defer.Deferred:
-        """Writes a call; the result is a `CallResult`."""
+        """Sends a request; the deferred fires with a `CallResult`."""
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
-        self._waiter = defer.Deferred()
+        self._pending = defer.Deferred()
         reactor = self._pool.reactor
         self._timer = reactor.callLater(timeout_s, self._on_timeout)
         self.transport.write(request)
-        return self._waiter
+        return self._pending
 
-    def retire(self) -> None:
-        """Closes a free connection; no call may use it any more."""
+    def close(self) -> None:
+        """Closes an idle connection."""
         self.is_open = False
         self.transport.loseConnection()
 
@@ -82,7 +90,7 @@
         self._finish(CallResult(CallOutcome.LOST))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted
-        """Takes bytes."""
+        """Parses received bytes."""
         if self._parser is None:
             self.transport.abortConnection()
             return
@@ -93,20 +101,20 @@
             self._finish(CallResult(CallOutcome.LOST))
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Learns that the connection is gone."""
+        """Handles the loss of the connection."""
         self.is_open = False
         self._pool.on_closed(self)
         self._finish(CallResult(CallOutcome.LOST))
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a part of the response body."""
         self._body += body
         if len(self._body) > MAX_RESPONSE_BYTES:
             self.transport.abortConnection()
 
     def on_message_complete(self) -> None:
-        """Takes the end of the answer."""
-        if self._waiter is None:
+        """Handles the end of the response."""
+        if self._pending is None:
             return
         status = self._parser.get_status_code()
         if self._parser.should_keep_alive() and self.is_open:
@@ -117,44 +125,44 @@
             CallResult(CallOutcome.ANSWERED, status, bytes(self._body))
         )
 
-    def _finish(self, answer: CallResult) -> None:
-        waiter = self._waiter
-        if waiter is None:
+    def _finish(self, result: CallResult) -> None:
+        pending = self._pending
+        if pending is None:
             return
-        self._waiter = None
+        self._pending = None
         self._parser = None
         if self._timer and self._timer.active():
             self._timer.cancel()
-        waiter.callback(answer)
+        pending.callback(result)
 
 
 class IdleConnections:
-    """The free connections of many pools; the oldest beyond a bound close."""
+    """The idle connections of many pools; over a limit the oldest closes."""
 
-    __slots__ = ("_connections", "_most")
+    __slots__ = ("_connections", "_max_connections")
 
-    def __init__(self, most: int):
-        """Starts with none.
+    def __init__(self, max_connections: int):
+        """Creates an empty set.
 
         Args:
-            most: how many may stay open.
+            max_connections: maximum number of idle connections.
         """
-        self._most = most
+        self._max_connections = max_connections
         self._connections: dict[_Connection, None] = {}
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def add(self, connection: _Connection) -> None:
-        """Takes a connection that is free again."""
+        """Adds a connection that became idle."""
         self._connections[connection] = None
-        if len(self._connections) > self._most:
+        if len(self._connections) > self._max_connections:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
-            oldest.retire()
+            oldest.close()
 
     def discard(self, connection: _Connection) -> None:
-        """Forgets a connection that is in use again, or gone."""
+        """Removes a connection that is in use again or closed."""
         self._connections.pop(connection, None)
 
 
@@ -162,7 +170,7 @@
     """The connections to one address.
 
     Attributes:
-        reactor: of twisted.
+        reactor: the twisted reactor.
     """
 
     noisy = False
@@ -171,18 +179,19 @@
         self,
         reactor: interfaces.IReactorTCP,
         address: str,
-        idle_of_all: IdleConnections | None = None,
+        shared_idle: IdleConnections | None = None,
     ):
-        """Starts without connections.
+        """Creates a pool without connections.
 
         Args:
-            reactor: of twisted.
-            address: IP:PORT.
-            idle_of_all: of all pools that share a bound.
+            reactor: the twisted reactor.
+            address: IP:PORT to connect to.
+            shared_idle: idle connections of all pools that share one limit,
+                None for a limit of its own.
         """
         host, port = read_address(address)
         self.reactor = reactor
-        self._idle_of_all = idle_of_all or IdleConnections(MAX_IDLE_CONNECTIONS)
+        self._shared_idle = shared_idle or IdleConnections(MAX_IDLE_CONNECTIONS)
         self._endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
@@ -190,21 +199,24 @@
         self._open: set[_Connection] = set()
 
     def buildProtocol(self, addr: object) -> _Connection:  # noqa: N802
-        """Makes a connection's protocol."""
+        """Returns the protocol of a new connection."""
         return _Connection(self)
 
     def call(self, request: bytes, timeout_s: float) -> defer.Deferred:
-        """Makes a call; the result is a `CallResult`, never a failure."""
+        """Sends a request; the deferred always fires with a `CallResult`."""
         now_s = self.reactor.seconds()
         while self._idle:
             connection = self._idle.pop()
-            self._idle_of_all.discard(connection)
-            if connection.is_open and now_s - connection.idle_since_s < IDLE_S:
+            self._shared_idle.discard(connection)
+            if (
+                connection.is_open
+                and now_s - connection.idle_since_s < IDLE_TIMEOUT_S
+            ):
                 return connection.call(request, timeout_s)
-            connection.retire()
+            connection.close()
         connecting = self._endpoint.connect(self)
         connecting.addCallbacks(
-            self._on_connected, self._on_refused, (request, timeout_s)
+            self._on_connected, self._on_connect_failed, (request, timeout_s)
         )
         return connecting
 
@@ -215,24 +227,24 @@
         self._open.add(connection)
         return connection.call(request, timeout_s)
 
-    def _on_refused(self, reason: failure.Failure) -> CallResult:
+    def _on_connect_failed(self, reason: failure.Failure) -> CallResult:
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
         return CallResult(CallOutcome.UNREACHED)
 
     def on_idle(self, connection: _Connection) -> None:
-        """Takes back a connection that is free again."""
+        """Handles a connection that became idle."""
         connection.idle_since_s = self.reactor.seconds()
         self._idle.append(connection)
-        self._idle_of_all.add(connection)
+        self._shared_idle.add(connection)
 
     def on_closed(self, connection: _Connection) -> None:
-        """Forgets a connection that is gone."""
+        """Handles a connection that closed."""
         self._open.discard(connection)
-        self._idle_of_all.discard(connection)
+        self._shared_idle.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Aborts all connections."""
         for connection in list(self._open):
             connection.transport.abortConnection()
--- a/packages/node/src/clayfield/node/httpserver.py
+++ b/packages/node/src/clayfield/node/httpserver.py
@@ -1,8 +1,8 @@
 """A small HTTP/1.1 server: the httptools parser on a twisted transport.
 
-Requests of one connection are answered in the order in which they came, one
-at a time. docs/design/path.md has the figures that speak against twisted.web
-on the path of requests.
+The requests of one connection are handled one at a time, in the order of
+their arrival. It is used instead of twisted.web, which is too slow for the
+request path.
 """
 
 import collections
@@ -19,13 +19,13 @@
 
 
 class HttpBounds:
-    """The bounds of one request.
+    """The size and time limits of a request.
 
     Attributes:
-        header_bytes: most bytes of its head.
-        body_bytes: most bytes of its body.
-        header_ms: time for the whole request to arrive once it has begun.
-        idle_ms: how long a connection may rest between requests.
+        header_bytes: maximum size of the path and the headers.
+        body_bytes: maximum size of the body.
+        header_ms: maximum time without data while a request arrives.
+        idle_ms: maximum idle time of a connection between requests.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "header_ms", "idle_ms")
@@ -44,15 +44,16 @@
 
 
 class HttpRequest:
-    """One request that has arrived whole.
+    """A request that has arrived completely.
 
     Attributes:
-        method: in capitals.
-        path: with its query.
-        headers: by name in lower case.
-        body: the body.
-        on_disconnected: called when the caller leaves before it is answered.
-        is_answered: whether it is answered already.
+        method: HTTP method in upper case.
+        path: path with the query string.
+        headers: values by header name in lower case.
+        body: body, empty for none.
+        on_disconnected: called if the connection is lost before the response,
+            None for no call.
+        is_answered: whether a response was given or the connection was lost.
     """
 
     __slots__ = (
@@ -88,7 +89,14 @@
         content_type: str = JSON_TYPE,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Answers; a second answer is dropped."""
+        """Sends the response; a second one is ignored.
+
+        Args:
+            status: HTTP status code.
+            body: body, empty for none.
+            content_type: value of Content-Type, if there is a body.
+            headers: further headers, pairs of name and value.
+        """
         if self.is_answered:
             return
         self.is_answered = True
@@ -103,7 +111,7 @@
     content_type: str,
     headers: tuple[tuple[str, str], ...],
 ) -> bytes:
-    """Returns an answer's bytes, without the line that ends its head."""
+    """Returns the bytes of a response."""
     reason = http.HTTPStatus(status).phrase
     lines = [f"HTTP/1.1 {status} {reason}", f"Content-Length: {len(body)}"]
     if body:
@@ -114,40 +122,40 @@
 
 
 class HttpConnection(protocol.Protocol):
-    """One connection of a caller."""
+    """One connection, also the callback target of its request parser."""
 
     def __init__(self, server: "HttpServer"):
         self._server = server
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: collections.deque[HttpRequest] = collections.deque()
+        self._queue: collections.deque[HttpRequest] = collections.deque()
         self._current: HttpRequest | None = None
         self._headers: dict[str, str] = {}
         self._path = bytearray()
         self._body = bytearray()
         self._head_bytes = 0
-        self._is_begun = False
+        self._is_receiving = False
         self._is_closing = False
         self._deadline: interfaces.IDelayedCall | None = None
-        self._since_s = 0.0
+        self._last_activity_s = 0.0
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is being read or answered."""
-        return self._current is None and not self._is_begun
+        """Whether no request is being received or handled."""
+        return self._current is None and not self._is_receiving
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's name
-        """Prepares for requests."""
+        """Registers the connection with the server."""
         self.transport.setTcpNoDelay(True)
-        self._since_s = self._server.reactor.seconds()
+        self._last_activity_s = self._server.reactor.seconds()
         self._server.connections.add(self)
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Tells whoever works on a request that its caller is gone."""
+        """Calls `on_disconnected` of each request without a response."""
         self._server.connections.discard(self)
         self._is_closing = True
         pending = [self._current] if self._current else []
-        pending += self._waiting
-        self._waiting.clear()
+        pending += self._queue
+        self._queue.clear()
         self._current = None
         for request in pending:
             if not request.is_answered and request.on_disconnected:
@@ -155,70 +163,70 @@
                 request.on_disconnected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Takes bytes."""
+        """Parses received bytes."""
         if self._is_closing:
             return
-        self._since_s = self._server.reactor.seconds()
+        self._last_activity_s = self._server.reactor.seconds()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(http.HTTPStatus.NOT_IMPLEMENTED)
+            self._reject(http.HTTPStatus.NOT_IMPLEMENTED)
         except httptools.HttpParserError:
-            self._refuse(http.HTTPStatus.BAD_REQUEST)
-
-    def check(self, now_s: float) -> None:
-        """Ends a connection that rests or dawdles for too long."""
-        waited_ms = (now_s - self._since_s) * 1000.0
-        bounds = self._server.bounds()
-        if self._is_begun and waited_ms > bounds.header_ms:
-            self._refuse(http.HTTPStatus.REQUEST_TIMEOUT)
-        elif self.is_idle and waited_ms > bounds.idle_ms:
+            self._reject(http.HTTPStatus.BAD_REQUEST)
+
+    def check_timeouts(self, now_s: float) -> None:
+        """Closes the connection if it is idle or receives for too long."""
+        elapsed_ms = (now_s - self._last_activity_s) * 1000.0
+        limits = self._server.limits()
+        if self._is_receiving and elapsed_ms > limits.header_ms:
+            self._reject(http.HTTPStatus.REQUEST_TIMEOUT)
+        elif self.is_idle and elapsed_ms > limits.idle_ms:
             self.close()
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self._is_closing = True
         self.transport.loseConnection()
 
-    # Calls of the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
-        self._is_begun = True
+        """Handles the start of a request."""
+        self._is_receiving = True
         self._headers = {}
         self._path.clear()
         self._body.clear()
         self._head_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Takes a piece of the path."""
+        """Handles a part of the path."""
         self._path += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Handles a header."""
         self._count_head(len(name) + len(value))
-        text = name.decode("latin-1").lower()
-        self._headers[text] = value.decode("latin-1")
+        lower_name = name.decode("latin-1").lower()
+        self._headers[lower_name] = value.decode("latin-1")
 
-    def _count_head(self, size: int) -> None:
-        self._head_bytes += size
-        if self._head_bytes > self._server.bounds().header_bytes:
-            self._refuse(http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+    def _count_head(self, byte_count: int) -> None:
+        self._head_bytes += byte_count
+        if self._head_bytes > self._server.limits().header_bytes:
+            self._reject(http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a part of the body."""
         if self._is_closing:
             return
         self._body += body
-        if len(self._body) > self._server.bounds().body_bytes:
-            self._refuse(http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+        if len(self._body) > self._server.limits().body_bytes:
+            self._reject(http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """Takes the end of a request."""
+        """Handles the end of a request."""
         if self._is_closing:
             return
-        self._is_begun = False
+        self._is_receiving = False
         request = HttpRequest(
             self,
             self._parser.get_method().decode("latin-1"),
@@ -226,38 +234,38 @@
             self._headers,
             bytes(self._body),
         )
-        if len(self._waiting) >= MAX_PIPELINED:
-            self._refuse(http.HTTPStatus.TOO_MANY_REQUESTS)
+        if len(self._queue) >= MAX_PIPELINED:
+            self._reject(http.HTTPStatus.TOO_MANY_REQUESTS)
         elif self._current is None:
             self._serve(request)
         else:
-            self._waiting.append(request)
+            self._queue.append(request)
 
     def _serve(self, request: HttpRequest) -> None:
         self._current = request
         self._server.handle(request)
 
-    def write_response(self, request: HttpRequest, answer: bytes) -> None:
-        """Writes the answer to the request that is being served."""
+    def write_response(self, request: HttpRequest, response: bytes) -> None:
+        """Writes the response to the request that is being handled."""
         if request is not self._current or self._is_closing:
             return
         self._current = None
-        self._since_s = self._server.reactor.seconds()
+        self._last_activity_s = self._server.reactor.seconds()
         if self._server.is_closing:
-            head, separator, body = answer.partition(b"\r\n\r\n")
-            answer = head + b"\r\nConnection: close" + separator + body
-        self.transport.write(answer)
+            head, separator, body = response.partition(b"\r\n\r\n")
+            response = head + b"\r\nConnection: close" + separator + body
+        self.transport.write(response)
         if self._server.is_closing:
             self.close()
-        elif self._waiting:
+        elif self._queue:
             self._server.reactor.callLater(0, self._serve_next)
 
     def _serve_next(self) -> None:
-        if self._waiting and self._current is None:
-            self._serve(self._waiting.popleft())
+        if self._queue and self._current is None:
+            self._serve(self._queue.popleft())
 
-    def _refuse(self, status: http.HTTPStatus) -> None:
-        """Answers a request that cannot be read, and ends the connection."""
+    def _reject(self, status: http.HTTPStatus) -> None:
+        """Responds with an error status and closes the connection."""
         if self._is_closing:
             return
         self._is_closing = True
@@ -270,11 +278,11 @@
     """Serves HTTP at one address.
 
     Attributes:
-        reactor: of twisted.
-        handle: called with each whole request.
-        bounds: returns the bounds in force.
-        connections: those that are open.
-        is_closing: whether each answer is the last of its connection.
+        reactor: the twisted reactor.
+        handle: called with each complete request.
+        limits: returns the current limits.
+        connections: the open connections.
+        is_closing: whether a connection closes after its next response.
     """
 
     noisy = False
@@ -283,53 +291,56 @@
         self,
         reactor: interfaces.IReactorTCP,
         handle: Callable[[HttpRequest], None],
-        bounds: Callable[[], HttpBounds],
+        limits: Callable[[], HttpBounds],
     ):
         self.reactor = reactor
         self.handle = handle
-        self.bounds = bounds
+        self.limits = limits
         self.connections: set[HttpConnection] = set()
         self.is_closing = False
         self._port: interfaces.IListeningPort | None = None
 
     def buildProtocol(self, addr: object) -> HttpConnection:  # noqa: N802
-        """Makes a connection's protocol."""
+        """Returns the protocol of a new connection."""
         return HttpConnection(self)
 
-    def listen(self, place: tuple[str, int]) -> None:
+    def listen(self, address: tuple[str, int]) -> None:
         """Starts to listen.
 
+        Args:
+            address: IP address and port; port 0 for any free one.
+
         Raises:
-            twisted.internet.error.CannotListenError: the address is taken.
+            twisted.internet.error.CannotListenError: the address is in use.
         """
-        host, port = place
+        host, port = address
         self._port = self.reactor.listenTCP(
             port, self, backlog=1024, interface=host
         )
 
     @property
     def port(self) -> int:
-        """The port that it listens at."""
+        """The port on which the server listens."""
         return self._port.getHost().port
 
-    def check(self) -> None:
-        """Ends connections that rest or dawdle; to be called now and then."""
+    def check_timeouts(self) -> None:
+        """Closes connections over a time limit; to be called periodically."""
         now_s = self.reactor.seconds()
         for connection in list(self.connections):
-            connection.check(now_s)
+            connection.check_timeouts(now_s)
 
     def begin_close(self) -> None:
-        """Makes each answer from now on the last of its connection."""
+        """Makes each connection close after its next response."""
         self.is_closing = True
 
     def close_idle(self) -> None:
-        """Ends the connections on which nothing is under way."""
+        """Closes the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
 
     def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         if self._port:
             self._port.stopListening()
             self._port = None
--- a/packages/node/src/clayfield/node/main.py
+++ b/packages/node/src/clayfield/node/main.py
@@ -1,4 +1,4 @@
-"""The clayfield-node command: one entry or control node of a pool."""
+"""The clayfield-node command: runs one entry or control node of a pool."""
 
 import argparse
 import sys
@@ -23,49 +23,105 @@
 MAX_MS = 3_600_000
 
 
-def _places(text: str) -> tuple[Place, ...]:
+def _parse_addresses(text: str) -> tuple[Place, ...]:
     return tuple(address(part) for part in text.split(",") if part)
 
 
-def _optional_place(text: str) -> Place | None:
+def _parse_optional_address(text: str) -> Place | None:
     return address(text) if text else None
 
 
 SETTINGS = (
-    Setting("node", str, None, "this node's name"),
-    Setting("hall", str, "hall", "where it stands"),
-    Setting("cluster", str, "clayfield", "name that all nodes share"),
-    Setting("peers", address, None, "IP:PORT where other nodes connect"),
-    Setting("seeds", _places, None, "IP:PORT,... of control nodes to join by"),
-    Setting("callers", _optional_place, "", "IP:PORT for callers; entries"),
-    Setting("readiness", _optional_place, "", "IP:PORT for readiness; entries"),
-    Setting("operators", _optional_place, "", "IP:PORT; control nodes"),
-    Setting("advisor", _optional_place, "", "IP:PORT of the advisor; entries"),
-    Setting("metrics", _optional_place, "", "IP:PORT for figures"),
-    Setting("data_folder", str, "", "folder for state; control nodes"),
-    Setting("first_start", yes_or_no, "no", "the whole cluster is new"),
-    Setting("losses", whole_number(0, 3), "1", "control nodes to be borne"),
+    Setting("node", str, None, "name of this node, for logs"),
+    Setting("hall", str, "hall", "hall (zone) of this node"),
+    Setting(
+        "cluster",
+        str,
+        "clayfield",
+        "name of the cluster, the same at all nodes",
+    ),
+    Setting(
+        "peers",
+        address,
+        None,
+        "IP:PORT where this node listens for other nodes",
+    ),
+    Setting(
+        "seeds",
+        _parse_addresses,
+        None,
+        "IP:PORT,... of control nodes to connect to",
+    ),
+    Setting(
+        "callers",
+        _parse_optional_address,
+        "",
+        "IP:PORT for callers; entry nodes",
+    ),
+    Setting(
+        "readiness",
+        _parse_optional_address,
+        "",
+        "IP:PORT for readiness checks; entry nodes",
+    ),
+    Setting(
+        "operators",
+        _parse_optional_address,
+        "",
+        "IP:PORT for operators and workers; control nodes",
+    ),
+    Setting(
+        "advisor",
+        _parse_optional_address,
+        "",
+        "IP:PORT of the advisor; entry nodes",
+    ),
+    Setting("metrics", _parse_optional_address, "", "IP:PORT for metrics"),
+    Setting("data_folder", str, "", "folder for stored state; control nodes"),
+    Setting(
+        "first_start", yes_or_no, "no", "yes only if the whole cluster is new"
+    ),
+    Setting(
+        "losses", whole_number(0, 3), "1", "control nodes that may fail at once"
+    ),
     Setting(
         "worker_heartbeat_ms",
         whole_number(10, MAX_MS),
         "1500",
-        "between statements",
+        "time between a worker's heartbeats",
+    ),
+    Setting(
+        "lease_ms",
+        whole_number(100, MAX_MS),
+        "1000",
+        "maximum lease of a worker",
+    ),
+    Setting(
+        "stop_ms", whole_number(1, MAX_MS), "50", "maximum time to stop a run"
+    ),
+    Setting(
+        "grace_ms",
+        whole_number(500, MAX_MS),
+        "6000",
+        "maximum time of a planned stop",
     ),
-    Setting("lease_ms", whole_number(100, MAX_MS), "1000", "longest lease"),
-    Setting("stop_ms", whole_number(1, MAX_MS), "50", "a stop's longest time"),
-    Setting("grace_ms", whole_number(500, MAX_MS), "6000", "of a planned stop"),
     Setting(
         "keep_ended_ms",
         whole_number(1000, MAX_MS),
         "120000",
-        "how long it is told how a kept job ended",
+        "time for which the state of an ended kept job is available",
+    ),
+    Setting(
+        "log_level",
+        str,
+        "info",
+        "lowest level to log: debug, info, warning or error",
     ),
-    Setting("log_level", str, "info", "debug, info, warning or error"),
 )
 
 
 def to_settings(values: dict[str, object]) -> NodeSettings:
-    """Returns a node's settings from values by name."""
+    """Returns a node's settings from values by setting name."""
     cfg = NodeSettings(values["node"], values["hall"], values["peers"])
     for name in NodeSettings.__slots__:
         if name in values:
@@ -75,40 +131,40 @@
 
 
 def check_role(role: str, cfg: NodeSettings) -> None:
-    """Checks that a role has the addresses that it serves.
+    """Checks that the settings which a role requires are given.
 
     Raises:
-        ClayfieldError: of kind BAD_SETTINGS, naming what is missing.
+        ClayfieldError: of kind BAD_SETTINGS, naming the missing flags.
     """
-    wanted = ("callers", "readiness")
+    required = ("callers", "readiness")
     if role == "control":
-        wanted = ("operators", "data_folder")
-    missing = [name for name in wanted if not getattr(cfg, name)]
+        required = ("operators", "data_folder")
+    missing = [name for name in required if not getattr(cfg, name)]
     if missing:
         flags = ", ".join("--" + name.replace("_", "-") for name in missing)
-        raise ClayfieldError(Kind.BAD_SETTINGS, f"{role} needs {flags}.")
+        raise ClayfieldError(Kind.BAD_SETTINGS, f"{role} node: set {flags}.")
 
 
 def main() -> None:
-    """Reads the settings and runs the node until it is stopped."""
+    """Reads the settings, runs the node until it ends, and exits."""
     parser = argparse.ArgumentParser(
         prog="clayfield-node",
-        description="Runs one node of a pool of workers. SIGTERM stops it as"
-        " planned; SIGHUP reads its settings again.",
+        description="Runs one node of a pool of workers. SIGTERM starts a"
+        " planned stop; SIGHUP reads the settings again.",
         epilog="Exit codes: 0 stopped; 1 failed; 2 bad settings.",
     )
     parser.add_argument("role", choices=ROLES)
     add_flags(parser, SETTINGS)
     flags = parser.parse_args()
 
-    def load() -> NodeSettings:
+    def load_settings() -> NodeSettings:
         return to_settings(read_settings(SETTINGS, flags))
 
     try:
-        cfg = load()
+        cfg = load_settings()
         check_role(flags.role, cfg)
         set_up_bounded(cfg.log_level)
-        process = _make_process(flags.role, cfg, load)
+        process = _make_process(flags.role, cfg, load_settings)
     except ClayfieldError as exc:
         print(f"clayfield-node: {exc}", file=sys.stderr)
         sys.exit(EXIT_USAGE)
@@ -116,14 +172,18 @@
     sys.exit(EXIT_FAILED if process.failure else 0)
 
 
-def _make_process(role: str, cfg: NodeSettings, load: object) -> NodeProcess:
+def _make_process(
+    role: str, cfg: NodeSettings, load_settings: object
+) -> NodeProcess:
     if role == "control":
         from clayfield.node.control_process import ControlProcess
 
-        return ControlProcess(cfg, OwnOperators(), load)
+        return ControlProcess(cfg, OwnOperators(), load_settings)
     from clayfield.node.entry_process import EntryProcess
 
-    return EntryProcess(cfg, OwnCallers(), OwnOperators(), OwnWorkers(), load)
+    return EntryProcess(
+        cfg, OwnCallers(), OwnOperators(), OwnWorkers(), load_settings
+    )
 
 
 if __name__ == "__main__":
--- a/packages/node/src/clayfield/node/metrics.py
+++ b/packages/node/src/clayfield/node/metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts, served in the form that Prometheus reads."""
+"""The metrics of a node, served in the Prometheus text format."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
@@ -20,7 +20,7 @@
 
 
 class NodeMetrics:
-    """The metrics that both kinds of node have."""
+    """The metrics of nodes of both roles."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -41,18 +41,18 @@
         gauge.set({}, value)
 
     def render(self) -> bytes:
-        """Returns all metrics as help_text."""
+        """Returns all metrics in the Prometheus text format."""
         self._dropped.set({}, lines_dropped())
         self._update()
         content, _ = render(self._registry, ["text/plain"])
         return content
 
     def _update(self) -> None:
-        """Brings the gauges up to date."""
+        """Sets the gauges to the current values."""
 
 
 class EntryMetrics(NodeMetrics):
-    """The metrics of an entry."""
+    """The metrics of an entry node."""
 
     def __init__(self, entry: Entry):
         super().__init__()
@@ -72,7 +72,13 @@
     def on_answered(
         self, queue: str, ended: JobEnded, response_ms: float
     ) -> None:
-        """Takes the answer of a job."""
+        """Counts a job whose caller got a response.
+
+        Args:
+            queue: name of the job's queue.
+            ended: verdict on the job and its reason.
+            response_ms: time from the job's arrival to the response.
+        """
         labels = {
             "queue": queue,
             "verdict": ended.verdict.name.lower(),
@@ -116,22 +122,22 @@
         self._set("log_index", "Committed.", control.consensus.commit)
         self._set("config_version", "In force.", control.state.version)
         self._set("epoch", "Of the latest grant.", control.state.grant.epoch)
-        known = len(control.workers.all())
-        self._set("known_workers", "That made statements.", known)
+        worker_count = len(control.workers.all())
+        self._set("known_workers", "That made statements.", worker_count)
 
 
 class MetricsServer:
-    """Serves a node's metrics at an address of its own."""
+    """Serves a node's metrics over HTTP at a separate address."""
 
     def __init__(self, reactor: interfaces.IReactorTCP, metrics: NodeMetrics):
         self._metrics = metrics
         self._server = HttpServer(reactor, self._on_request, HttpBounds)
 
     def start(self, cfg: NodeSettings) -> None:
-        """Listens, where the settings name an address.
+        """Starts to listen if the settings name an address for metrics.
 
         Raises:
-            twisted.internet.error.CannotListenError: the address is taken.
+            twisted.internet.error.CannotListenError: the address is in use.
         """
         if cfg.metrics:
             self._server.listen(cfg.metrics)
--- a/packages/node/src/clayfield/node/own/workers.py
+++ b/packages/node/src/clayfield/node/own/workers.py
@@ -182,7 +182,7 @@
 
     def read_advice(self, answer: CallResult) -> Advice:
         """Returns what the advisor says."""
-        is_answer = answer.end is CallOutcome.ANSWERED
+        is_answer = answer.outcome is CallOutcome.ANSWERED
         if not is_answer or answer.status != HTTP_OK:
             return Advice(False)
         try:
@@ -218,8 +218,8 @@
 
 
 def _read(answer: CallResult) -> WorkerAnswer | OrderResult:
-    if answer.end is not CallOutcome.ANSWERED:
-        return _ENDS_OF_CALLS[answer.end]
+    if answer.outcome is not CallOutcome.ANSWERED:
+        return _ENDS_OF_CALLS[answer.outcome]
     if answer.status != HTTP_OK:
         return OrderResult.UNHEALTHY
     try:
--- a/packages/node/src/clayfield/node/process.py
+++ b/packages/node/src/clayfield/node/process.py
@@ -1,4 +1,8 @@
-"""What both kinds of process share: signals, ticks, logs and their end."""
+"""Base class of node processes: signals, periodic work, logging, exit.
+
+Periodic work runs in ticks. A node's logic queues actions, such as messages
+to send; they run in the next iteration of the event loop.
+"""
 
 import abc
 import gc
@@ -13,14 +17,17 @@
 
 TICK_S = 0.02
 MS_PER_S = 1000.0
+# Net allocations between garbage collections; keeps their pauses rare.
 GC_ALLOCATIONS = 20_000
 
 
 class NodeProcess(abc.ABC):
-    """A process that ticks until it is told to stop.
+    """A process that runs until it is stopped by a signal or fails.
+
+    SIGTERM and SIGINT start a planned stop, SIGHUP reloads the settings.
 
     Attributes:
-        failure: why it could not go on, or "".
+        failure: reason for which the process ended itself, "" for none.
     """
 
     def __init__(self, name: str, role: str):
@@ -31,7 +38,7 @@
         self._is_ended = False
 
     def run(self) -> None:
-        """Runs until stopped."""
+        """Runs the event loop until the process ends."""
         globalLogBeginner.beginLoggingTo(
             [_log_failure], redirectStandardIO=False, discardBuffer=True
         )
@@ -60,30 +67,30 @@
         self.kick()
 
     def _run_guarded(self, function: Callable[[], None]) -> None:
-        """Does something; an unexpected error is logged and goes no further."""
+        """Calls a function; logs an unexpected exception and drops it."""
         try:
             function()
         except Exception:
             emit(Event.INTERNAL, error=traceback.format_exc(limit=-4))
 
     def kick(self) -> None:
-        """Has what was decided carried out in this turn of the loop."""
+        """Schedules `carry_out` for the next iteration of the event loop."""
         if not self._is_scheduled:
             self._is_scheduled = True
-            reactor.callLater(0, self._run_actions)
+            reactor.callLater(0, self._run_scheduled_actions)
 
-    def _run_actions(self) -> None:
+    def _run_scheduled_actions(self) -> None:
         self._is_scheduled = False
         self._run_guarded(self.carry_out)
 
     def fail(self, reason: str) -> None:
-        """Ends the process because it cannot go on."""
+        """Ends the process after an error from which it can't recover."""
         self.failure = reason
         emit(Event.NODE_FAILED, node=self._name, error=reason)
         self.end()
 
     def end(self) -> None:
-        """Ends the process."""
+        """Stops the event loop, which ends the process."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -93,24 +100,24 @@
     def call_later(
         self, delay_s: float, function: Callable[[], None]
     ) -> interfaces.IDelayedCall:
-        """Has something done later."""
+        """Schedules a function call after a delay."""
         return reactor.callLater(delay_s, function)
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Listens and connects."""
+        """Starts to listen and connects to other nodes."""
 
     @abc.abstractmethod
     def tick(self) -> None:
-        """Lets time function."""
+        """Runs the periodic work; called every `TICK_S`."""
 
     @abc.abstractmethod
     def carry_out(self) -> None:
-        """Carries out what was decided."""
+        """Runs the queued actions."""
 
     @abc.abstractmethod
     def begin_stop(self) -> None:
-        """Begins a planned stop."""
+        """Starts a planned stop."""
 
     @abc.abstractmethod
     def reload(self) -> None:
@@ -118,7 +125,7 @@
 
 
 def _log_failure(event: LogEvent) -> None:
-    """Passes on errors that twisted has caught."""
+    """Logs exceptions that twisted has caught."""
     failure = event.get("log_failure")
     if failure is not None:
         emit(Event.INTERNAL, error=failure.getTraceback(elideFrameworkCode=1))
--- a/packages/node/src/clayfield/node/settings.py
+++ b/packages/node/src/clayfield/node/settings.py
@@ -1,4 +1,4 @@
-"""What a node is told when it starts."""
+"""The settings of a node."""
 
 Place = tuple[str, int]
 
@@ -7,26 +7,28 @@
     """The settings of one node.
 
     Attributes:
-        cluster: the name that all nodes share.
-        name: this node's name, for logs.
-        hall: where it stands.
-        peers: where other nodes connect to it.
-        seeds: where control nodes accept other nodes.
-        callers: where callers connect; entries only.
-        readiness: where readiness is asked for; entries only.
-        operators: where operators and workers connect; control nodes only.
-        advisor: who tells which workers may run advised queues, None for
-            nobody; entries only.
-        metrics: where figures are served, None for nowhere.
-        data_folder: where state is kept; control nodes only.
+        cluster: name of the cluster, the same at all nodes.
+        name: name of this node, for logs.
+        hall: hall (zone) of this node.
+        peers: address at which this node listens for other nodes.
+        seeds: addresses of control nodes to connect to first.
+        callers: address for callers; entry nodes only.
+        readiness: address for readiness checks; entry nodes only.
+        operators: address for operators and workers' heartbeats; control
+            nodes only.
+        advisor: address of the advisor, the service that decides which
+            workers may run advised jobs, None for none; entry nodes only.
+        metrics: address at which metrics are served, None for none.
+        data_folder: folder for stored state; control nodes only.
         is_first_start: whether the whole cluster starts for the first time.
-        losses: how many control nodes may be lost at once.
-        worker_heartbeat_ms: how often workers make their statement.
-        lease_ms: the longest lease that a worker takes.
-        stop_ms: how long a stop takes at most.
-        grace_ms: how long a planned stop may take.
-        keep_ended_ms: how long it is told how a kept job ended.
-        log_level: debug, info, warning or error.
+        losses: number of control nodes that may fail at once.
+        worker_heartbeat_ms: time between a worker's heartbeats.
+        lease_ms: maximum lease of a worker.
+        stop_ms: maximum time that a worker needs to stop a run.
+        grace_ms: maximum time of a planned stop.
+        keep_ended_ms: time for which the state of an ended kept job is
+            available.
+        log_level: lowest level to log: debug, info, warning or error.
     """
 
     __slots__ = (
@@ -74,5 +76,5 @@
 
 
 def place_text(place: Place) -> str:
-    """Returns IP:PORT."""
+    """Returns an address as `IP:PORT`."""
     return f"{place[0]}:{place[1]}"
--- a/tests/test_httpclient.py
+++ b/tests/test_httpclient.py
@@ -9,7 +9,7 @@
     def __init__(self):
         self.is_closed = False
 
-    def retire(self):
+    def close(self):
         self.is_closed = True
 
 
