--- a/packages/node/src/clayfield/node/own/__init__.py
+++ b/packages/node/src/clayfield/node/own/__init__.py
@@ -1,4 +1,4 @@
-"""Clayfield's own protocols towards callers, operators and workers."""
+"""Clayfield's native protocols for callers, operators and workers."""
 
 from clayfield.node.own.callers import OwnCallers
 from clayfield.node.own.operators import OwnOperators
--- a/packages/node/src/clayfield/node/own/callers.py
+++ b/packages/node/src/clayfield/node/own/callers.py
@@ -1,4 +1,9 @@
-"""How callers submit jobs of steps: `/v1/queues/QUEUE/jobs/KEY`."""
+"""The native HTTP protocol for callers.
+
+PUT or POST on `/v1/queues/QUEUE/jobs/KEY` submits a job, GET returns the
+state of a kept job and DELETE cancels a job. GET on `/v1/queues/QUEUE`
+returns the number of waiting jobs.
+"""
 
 import math
 import re
@@ -34,7 +39,7 @@
 FIRST_RETRY_MS = 1000.0
 MAX_SPEC_BYTES = 4000
 _PATH = re.compile(r"/v1/queues/[^/]+(/jobs/(?P<key>[A-Za-z0-9_-]{1,64}))?/?")
-_KINDS = {
+_KINDS_BY_REASON = {
     Reason.TOO_LATE: Kind.QUEUE_FULL,
     Reason.TOO_MANY: Kind.QUEUE_FULL,
     Reason.NOT_STORED: Kind.NO_WORKER,
@@ -93,10 +98,10 @@
 
 
 class OwnCallers(CallerProtocol):
-    """Jobs over HTTP, the queue named by the path."""
+    """Decodes callers' requests; the path names the queue."""
 
     def read_call(self, request: HttpRequest, routes: Routes) -> CallerCall:
-        """Returns what a request asks for, or its answer at once."""
+        """Returns the decoded call, or the response to an invalid request."""
         if not routes.version:
             return _problem(Kind.NOT_READY, "", FIRST_RETRY_MS)
         path = request.path.partition("?")[0]
@@ -114,7 +119,7 @@
             return _problem(exc.kind, exc.problem.detail)
 
     def write_job_reply(self, ended: JobEnded) -> HttpReply:
-        """Returns the answer to the caller of a job."""
+        """Returns the response to the caller of a job."""
         match ended.verdict:
             case Verdict.COMPLETED | Verdict.FAILED:
                 outcome = _Outcome(ended.verdict.name.lower())
@@ -124,26 +129,26 @@
             case Verdict.CANCELLED:
                 return _problem(Kind.NOT_FOUND, "The job was cancelled.")
             case Verdict.REFUSED:
-                kind = _KINDS.get(ended.reason, Kind.DEADLINE)
+                kind = _KINDS_BY_REASON.get(ended.reason, Kind.DEADLINE)
                 return _problem(kind, ended.reason, ended.retry_after_ms)
         return _problem(Kind.TASK_LOST, ended.reason)
 
     def write_cancel_reply(self, is_known: bool | None) -> HttpReply:
-        """Returns the answer to a cancel."""
+        """Returns the response to a cancel request."""
         if is_known is None:
             return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
         return HttpReply(200) if is_known else _problem(Kind.NOT_FOUND, "")
 
     def write_state_reply(self, reply: StateTold | None) -> HttpReply:
-        """Returns the answer that tells where a kept job stands."""
+        """Returns the response with the state of a kept job."""
         if reply is None or not reply.is_sure:
             return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
         if reply.state is None:
-            return _problem(Kind.NOT_FOUND, "No such job is kept.")
+            return _problem(Kind.NOT_FOUND, "No kept job has this key.")
         return HttpReply(200, msgspec.json.encode(_State(reply.state)))
 
     def write_count_reply(self, waiting: int) -> HttpReply:
-        """Returns the answer that tells how many jobs wait."""
+        """Returns the response with the number of waiting jobs."""
         return HttpReply(200, msgspec.json.encode(_Count(waiting)))
 
 
@@ -155,34 +160,40 @@
             return CancelCall(key)
         case "GET":
             return StateCall(key)
-    raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
+    raise ClayfieldError(
+        Kind.NOT_FOUND, f"{request.method} is not supported here."
+    )
 
 
-def _read_job(body: bytes, route: Route, key: str) -> Job:
-    """Returns the job in a body.
+def _read_job(content: bytes, route: Route, key: str) -> Job:
+    """Returns the job in a request body.
 
     Raises:
         ClayfieldError: of kind BAD_JSON, BAD_FIELD or TOO_LARGE.
     """
     try:
-        said = _decoder.decode(body)
+        body = _decoder.decode(content)
     except msgspec.ValidationError as exc:
         raise ClayfieldError(Kind.BAD_FIELD, f"{exc}.") from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise ClayfieldError(Kind.BAD_JSON, f"{exc}.") from exc
-    if len(said.spec.encode()) > MAX_SPEC_BYTES:
-        raise ClayfieldError(Kind.TOO_LARGE, f"spec over {MAX_SPEC_BYTES}.")
-    steps = tuple(_step(step) for step in said.steps)
-    fault = find_step_fault(steps)
-    if fault:
-        raise ClayfieldError(Kind.BAD_FIELD, fault)
-    _check_schedule(said.schedule)
-    timeout_ms = said.timeout_ms or route.timeout_ms
+    if len(body.spec.encode()) > MAX_SPEC_BYTES:
+        raise ClayfieldError(
+            Kind.TOO_LARGE, f"spec is longer than {MAX_SPEC_BYTES} bytes."
+        )
+    steps = tuple(_to_step(step) for step in body.steps)
+    error = find_step_fault(steps)
+    if error:
+        raise ClayfieldError(Kind.BAD_FIELD, error)
+    _check_schedule(body.schedule)
+    timeout_ms = body.timeout_ms or route.timeout_ms
     job = route.make_job(
-        key, said.spec, steps, timeout_ms, said.keep, said.schedule
+        key, body.spec, steps, timeout_ms, body.keep, body.schedule
     )
     if job.task_count > MAX_TASKS:
-        raise ClayfieldError(Kind.TOO_LARGE, f"over {MAX_TASKS} tasks.")
+        raise ClayfieldError(
+            Kind.TOO_LARGE, f"job has more than {MAX_TASKS} tasks."
+        )
     return job
 
 
@@ -192,11 +203,11 @@
     if schedule.repeats < 1 or schedule.interval_ms < 0:
         raise ClayfieldError(
             Kind.BAD_FIELD,
-            "schedule: repeats is not above 0, or interval_ms is below 0.",
+            "schedule: repeats must be above 0 and interval_ms at least 0.",
         )
 
 
-def _step(step: _Step) -> Step:
+def _to_step(step: _Step) -> Step:
     return Step(
         step.count,
         step.cpu,
--- a/packages/node/src/clayfield/node/own/operators.py
+++ b/packages/node/src/clayfield/node/own/operators.py
@@ -1,7 +1,8 @@
-"""How operators write the routing and workers state themselves.
+"""The native HTTP protocol for operators and workers' heartbeats.
 
-`/v1/routing` holds the whole routing as JSON; `/v1/workers/NAME` takes a
-worker's statement (PUT) and its leave (DELETE).
+`/v1/routing` is the configuration of queues, services and limits as one JSON
+document (GET, PUT). At `/v1/workers/NAME` a worker sends its heartbeat (PUT)
+and announces that it leaves (DELETE).
 """
 
 import msgspec
@@ -88,10 +89,10 @@
 
 
 class OwnOperators(OperatorProtocol):
-    """Whole routings, and workers that state themselves."""
+    """Decodes operators' requests and workers' heartbeats."""
 
     def read_call(self, request: HttpRequest) -> OperatorCall:
-        """Returns what a request asks for, or its answer at once."""
+        """Returns the decoded call, or the response to an invalid request."""
         path = request.path.partition("?")[0]
         try:
             if path == ROUTING_PATH:
@@ -104,11 +105,11 @@
         return _problem(ClayfieldError(Kind.NOT_FOUND, path))
 
     def read_table(self, document: bytes) -> RoutingTable:
-        """Returns the routes of a routing that was found valid."""
+        """Returns the routing table of a valid configuration."""
         return _to_table(_routing_decoder.decode(document))
 
     def write_redirect(self, host: str, port: int, path: str) -> HttpReply:
-        """Returns the answer that sends an operator to another node."""
+        """Returns a redirect to the same path at another node."""
         location = f"http://{host}:{port}{path}"
         return HttpReply(307, headers=(("Location", location),))
 
@@ -126,54 +127,60 @@
     if request.method == "GET":
         return ReadCall()
     if request.method != "PUT":
-        raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
+        raise ClayfieldError(
+            Kind.NOT_FOUND, f"{request.method} is not supported here."
+        )
     routing = _decode(request.body, _routing_decoder)
-    _check(routing)
+    _validate(routing)
     return WriteCall(routing.version, request.body)
 
 
-def _check(routing: _Routing) -> None:
-    """Refuses a routing as a whole, naming every fault.
+def _validate(routing: _Routing) -> None:
+    """Validates a configuration and reports all problems at once.
 
     Raises:
         ClayfieldError: of kind BAD_CONFIG.
     """
-    faults: list[str] = []
+    problems: list[str] = []
     if routing.version < 1:
-        faults.append(f"version {routing.version} is not above 0.")
+        problems.append(f"version {routing.version} must be above 0.")
     services = {service.name for service in routing.services}
-    seen: set[tuple[str, str]] = set()
+    queue_ids: set[tuple[str, str]] = set()
     for queue in routing.queues:
         if queue.service not in services:
-            faults.append(f"{queue.name}: no service {queue.service!r}.")
+            problems.append(
+                f"{queue.name}: no service {queue.service!r} exists."
+            )
         if queue.timeout_ms <= 0:
-            faults.append(f"{queue.name}: timeout_ms is not above 0.")
-        if (queue.host, queue.name) in seen:
-            faults.append(f"{queue.name}: stands twice.")
-        seen.add((queue.host, queue.name))
-    if faults:
-        raise ClayfieldError(Kind.BAD_CONFIG, " ".join(faults))
+            problems.append(f"{queue.name}: timeout_ms must be above 0.")
+        if (queue.host, queue.name) in queue_ids:
+            problems.append(f"{queue.name}: is listed twice.")
+        queue_ids.add((queue.host, queue.name))
+    if problems:
+        raise ClayfieldError(Kind.BAD_CONFIG, " ".join(problems))
 
 
 def _read_worker_call(request: HttpRequest, name: str) -> OperatorCall:
     if request.method == "DELETE":
         return LeaveCall(name)
     if request.method != "PUT":
-        raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
-    said = _decode(request.body, _statement_decoder)
+        raise ClayfieldError(
+            Kind.NOT_FOUND, f"{request.method} is not supported here."
+        )
+    heartbeat = _decode(request.body, _statement_decoder)
     return StatementCall(
         WorkerInfo(
             name,
-            said.service,
-            said.address,
-            said.hall,
-            said.state,
-            said.sequence,
-            said.cpu,
-            said.memory_mb,
-            said.gpu,
-            said.labels,
-            said.rack,
+            heartbeat.service,
+            heartbeat.address,
+            heartbeat.hall,
+            heartbeat.state,
+            heartbeat.sequence,
+            heartbeat.cpu,
+            heartbeat.memory_mb,
+            heartbeat.gpu,
+            heartbeat.labels,
+            heartbeat.rack,
         )
     )
 
@@ -184,8 +191,12 @@
         routing.version,
         tuple(_to_route(queue) for queue in routing.queues),
         tuple(
-            Service(one.name, one.max_connections, one.enforces_capacity)
-            for one in routing.services
+            Service(
+                service.name,
+                service.max_connections,
+                service.enforces_capacity,
+            )
+            for service in routing.services
         ),
         Limits(
             limits.header_bytes,
--- a/packages/node/src/clayfield/node/own/workers.py
+++ b/packages/node/src/clayfield/node/own/workers.py
@@ -1,4 +1,8 @@
-"""How workers of pools are told what to do: `/v1/runs/start|stop|hold`."""
+"""The native HTTP protocol to workers and to the advisor.
+
+Workers serve `/v1/runs/start`, `stop`, `pace` (throttle a run) and `hold`
+(the poll that renews the worker's lease). The advisor serves `/v1/advice`.
+"""
 
 import msgspec
 
@@ -27,14 +31,25 @@
 ADVICE_PATH = "/v1/advice"
 HTTP_OK = 200
 
-_ENDS_OF_CALLS = {
+_RESULTS_BY_OUTCOME = {
     CallOutcome.UNREACHED: OrderResult.UNREACHED,
     CallOutcome.LOST: OrderResult.LOST,
 }
 
 
 class StartBody(msgspec.Struct):
-    """Starts a run."""
+    """Request body that starts a run, which is one attempt to run a task.
+
+    Attributes:
+        worker: name of the worker's incarnation.
+        task: the task to execute.
+        number: number of the run.
+        spec: description of the work, opaque to clayfield.
+        lease_until_ms: end of the worker's lease on the worker's clock.
+        fence: fencing token; a worker rejects one lower than it has seen.
+        checkpoint: checkpoint to resume from, "" for none.
+        ticket: ticket of the advisor, "" for none.
+    """
 
     worker: str
     task: TaskId
@@ -47,7 +62,7 @@
 
 
 class StopBody(msgspec.Struct):
-    """Stops a run."""
+    """Request body that stops a run."""
 
     worker: str
     task: TaskId
@@ -56,7 +71,7 @@
 
 
 class PaceBody(msgspec.Struct):
-    """Lets a run work at a share of its full pace."""
+    """Request body that throttles a run to a percentage of its speed."""
 
     worker: str
     task: TaskId
@@ -66,7 +81,17 @@
 
 
 class HoldBody(msgspec.Struct):
-    """Renews the lease and asks what runs and what has ended."""
+    """Request body of a poll.
+
+    Attributes:
+        worker: name of the worker's incarnation.
+        seen_upto: sequence number of the last ended run that the holder has
+            processed.
+        wait_ms: maximum time to wait for a run to end, in ms.
+        fence: fencing token; a worker rejects one lower than it has seen.
+        lease_until_ms: new end of the lease on the worker's clock, None
+            while that clock is unknown.
+    """
 
     worker: str
     seen_upto: int
@@ -76,7 +101,16 @@
 
 
 class RunningItem(msgspec.Struct):
-    """A run under way."""
+    """A running run in the reply to a poll.
+
+    Attributes:
+        task: the task that it executes.
+        number: number of the run.
+        percent: speed in percent of the full speed.
+        saved: checkpoint of its progress, "" for none.
+        figure: tail latency of a latency-sensitive task in ms, None if
+            unknown.
+    """
 
     task: TaskId
     number: int
@@ -86,7 +120,15 @@
 
 
 class EndedItem(msgspec.Struct):
-    """A run that ended, numbered within the worker's life."""
+    """An ended run in the reply to a poll.
+
+    Attributes:
+        sequence: number of this end within the worker's incarnation.
+        task: the task that it executed.
+        number: number of the run.
+        kind: how the run ended.
+        saved: checkpoint of its progress, "" for none.
+    """
 
     sequence: int
     task: TaskId
@@ -96,13 +138,13 @@
 
 
 class WorkerAnswer(msgspec.Struct):
-    """What a worker answers to any order.
+    """Response body of a worker.
 
     Attributes:
-        result: how it took the order.
-        clock_ms: its clock.
-        running: what runs there; holds only.
-        ended: what ended there; holds only.
+        result: result of the command.
+        clock_ms: time on the worker's clock, in ms.
+        running: the running runs; replies to polls only.
+        ended: the ended runs after `seen_upto`; replies to polls only.
     """
 
     result: OrderResult
@@ -112,7 +154,7 @@
 
 
 class QuestionBody(msgspec.Struct):
-    """Asks the advisor which workers may run a step."""
+    """Request body to the advisor: which workers may run a step."""
 
     job: str
     time: int
@@ -121,114 +163,123 @@
 
 
 class AdviceBody(msgspec.Struct):
-    """The advisor's answer: tickets by the names of workers."""
+    """Response body of the advisor.
+
+    Attributes:
+        tickets: tickets by name of the workers that may run the step.
+        valid_ms: time for which the tickets are valid, in ms.
+    """
 
     tickets: dict[str, str]
     valid_ms: float
 
 
 _advice_decoder = msgspec.json.Decoder(AdviceBody)
-_answer_decoder = msgspec.json.Decoder(WorkerAnswer)
+_reply_decoder = msgspec.json.Decoder(WorkerAnswer)
 
 
 class OwnWorkers(WorkerProtocol):
-    """Orders as calls to a worker."""
+    """Encodes requests to workers and the advisor, decodes the responses."""
 
-    def write_start(self, order: StartRun) -> bytes:
+    def write_start(self, command: StartRun) -> bytes:
         """Returns the request that starts a run."""
         body = StartBody(
-            order.worker,
-            order.task_id,
-            order.number,
-            order.spec,
-            order.lease_until_ms,
-            order.fence,
-            order.checkpoint,
-            order.ticket,
+            command.worker,
+            command.task_id,
+            command.number,
+            command.spec,
+            command.lease_until_ms,
+            command.fence,
+            command.checkpoint,
+            command.ticket,
         )
-        return _request(START_PATH, order.address, body)
+        return _render_request(START_PATH, command.address, body)
 
-    def write_stop(self, order: StopRun) -> bytes:
+    def write_stop(self, command: StopRun) -> bytes:
         """Returns the request that stops a run."""
-        body = StopBody(order.worker, order.task_id, order.number, order.fence)
-        return _request(STOP_PATH, order.address, body)
+        body = StopBody(
+            command.worker, command.task_id, command.number, command.fence
+        )
+        return _render_request(STOP_PATH, command.address, body)
 
-    def write_pace(self, order: PaceRun) -> bytes:
-        """Returns the request that sets the pace of a run."""
+    def write_pace(self, command: PaceRun) -> bytes:
+        """Returns the request that throttles a run."""
         body = PaceBody(
-            order.worker,
-            order.task_id,
-            order.number,
-            order.percent,
-            order.fence,
+            command.worker,
+            command.task_id,
+            command.number,
+            command.percent,
+            command.fence,
         )
-        return _request(PACE_PATH, order.address, body)
+        return _render_request(PACE_PATH, command.address, body)
 
-    def write_hold(self, order: HoldWorker) -> bytes:
-        """Returns the request that renews a lease and asks what runs."""
+    def write_hold(self, command: HoldWorker) -> bytes:
+        """Returns the long-poll request that renews a worker's lease."""
         body = HoldBody(
-            order.worker,
-            order.seen_upto,
-            order.wait_ms,
-            order.fence,
-            order.lease_until_ms,
+            command.worker,
+            command.seen_upto,
+            command.wait_ms,
+            command.fence,
+            command.lease_until_ms,
         )
-        return _request(HOLD_PATH, order.address, body)
+        return _render_request(HOLD_PATH, command.address, body)
 
-    def write_question(self, ask: AskAdvisor, address: str) -> bytes:
-        """Returns the request that asks the advisor."""
-        body = QuestionBody(ask.job, ask.time, ask.step, ask.workers)
-        return _request(ADVICE_PATH, address, body)
+    def write_question(self, command: AskAdvisor, address: str) -> bytes:
+        """Returns the request to the advisor for tickets."""
+        body = QuestionBody(
+            command.job, command.time, command.step, command.workers
+        )
+        return _render_request(ADVICE_PATH, address, body)
 
-    def read_advice(self, answer: CallResult) -> Advice:
-        """Returns what the advisor says."""
-        is_answer = answer.outcome is CallOutcome.ANSWERED
-        if not is_answer or answer.status != HTTP_OK:
+    def read_advice(self, result: CallResult) -> Advice:
+        """Returns the advisor's reply."""
+        is_answered = result.outcome is CallOutcome.ANSWERED
+        if not is_answered or result.status != HTTP_OK:
             return Advice(False)
         try:
-            said = _advice_decoder.decode(answer.body)
+            reply = _advice_decoder.decode(result.body)
         except (msgspec.DecodeError, UnicodeDecodeError):
             return Advice(False)
-        return Advice(True, said.tickets, said.valid_ms)
-
-    def read_order_answer(self, answer: CallResult) -> OrderAnswer:
-        """Returns how a worker took a start or a stop."""
-        said = _read(answer)
-        if isinstance(said, OrderResult):
-            return OrderAnswer(said)
-        return OrderAnswer(said.result, said.clock_ms)
-
-    def read_hold_answer(self, answer: CallResult) -> HoldAnswer:
-        """Returns what a worker lists."""
-        said = _read(answer)
-        if isinstance(said, OrderResult):
-            return HoldAnswer(said)
+        return Advice(True, reply.tickets, reply.valid_ms)
+
+    def read_order_answer(self, result: CallResult) -> OrderAnswer:
+        """Returns a worker's reply to a start or stop request."""
+        reply = _read_reply(result)
+        if isinstance(reply, OrderResult):
+            return OrderAnswer(reply)
+        return OrderAnswer(reply.result, reply.clock_ms)
+
+    def read_hold_answer(self, result: CallResult) -> HoldAnswer:
+        """Returns a worker's reply to a poll."""
+        reply = _read_reply(result)
+        if isinstance(reply, OrderResult):
+            return HoldAnswer(reply)
         return HoldAnswer(
-            said.result,
-            said.clock_ms,
+            reply.result,
+            reply.clock_ms,
             [
                 RunningRow(r.task, r.number, r.percent, r.saved, r.figure)
-                for r in said.running
+                for r in reply.running
             ],
             [
                 EndedRow(e.sequence, e.task, e.number, e.kind, e.saved)
-                for e in said.ended
+                for e in reply.ended
             ],
         )
 
 
-def _read(answer: CallResult) -> WorkerAnswer | OrderResult:
-    if answer.outcome is not CallOutcome.ANSWERED:
-        return _ENDS_OF_CALLS[answer.outcome]
-    if answer.status != HTTP_OK:
+def _read_reply(result: CallResult) -> WorkerAnswer | OrderResult:
+    if result.outcome is not CallOutcome.ANSWERED:
+        return _RESULTS_BY_OUTCOME[result.outcome]
+    if result.status != HTTP_OK:
         return OrderResult.UNHEALTHY
     try:
-        return _answer_decoder.decode(answer.body)
+        return _reply_decoder.decode(result.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return OrderResult.LOST
 
 
-def _request(path: str, address: str, body: msgspec.Struct) -> bytes:
+def _render_request(path: str, address: str, body: msgspec.Struct) -> bytes:
     content = msgspec.json.encode(body)
     head = (
         f"POST {path} HTTP/1.1\r\n"
--- a/tests/test_httpclient.py
+++ b/tests/test_httpclient.py
@@ -1,10 +1,10 @@
-"""Connections to workers: how many stay open."""
+"""Tests of the limit on idle connections to workers."""
 
 from clayfield.node.httpclient import IdleConnections
 
 
 class FakeConnection:
-    """A connection that notes its end."""
+    """A connection that records whether it was closed."""
 
     def __init__(self):
         self.is_closed = False
@@ -13,7 +13,7 @@
         self.is_closed = True
 
 
-def test_the_oldest_free_connection_closes_beyond_the_bound():
+def test_oldest_idle_connection_closes_over_the_limit():
     idle = IdleConnections(3)
     connections = [FakeConnection() for _ in range(5)]
     for connection in connections:
@@ -23,7 +23,7 @@
     assert len(idle) == 3
 
 
-def test_a_connection_in_use_again_is_not_closed():
+def test_reused_connection_stays_open():
     idle = IdleConnections(2)
     first, second, third, fourth = (FakeConnection() for _ in range(4))
     idle.add(first)
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -1,4 +1,4 @@
-"""Entries, control nodes and workers of a pool as real processes."""
+"""Tests of a pool of nodes and workers as separate processes."""
 
 import http.client
 import json
@@ -37,7 +37,7 @@
 
 
 class Node:
-    """One clayfield-node process."""
+    """A clayfield-node process."""
 
     def __init__(self, role, name, seeds, folder, first="yes", peers=None):
         self.role = role
@@ -81,13 +81,13 @@
         self.process.kill()
         self.process.wait(20)
 
-    def ask(self, method, path, body=None, port=None):
+    def request(self, method, path, body=None, port=None):
         conn = http.client.HTTPConnection(
             LOOPBACK, port or self.port, timeout=30
         )
-        raw = body if isinstance(body, bytes) else json.dumps(body).encode()
+        content = body if isinstance(body, bytes) else json.dumps(body).encode()
         try:
-            conn.request(method, path, raw if body is not None else None)
+            conn.request(method, path, content if body is not None else None)
             response = conn.getresponse()
             return response.status, response.read(), response.headers
         except (OSError, http.client.HTTPException):
@@ -97,11 +97,11 @@
 
     @property
     def is_ready(self):
-        return self.ask("GET", "/", port=self.ready)[0] == 200
+        return self.request("GET", "/", port=self.ready)[0] == 200
 
 
 class Pool:
-    """Three control nodes, two entries and the stand-in workers."""
+    """Three control nodes, two entry nodes and a process of fake workers."""
 
     def __init__(self, folder):
         seeds = [free_port() for _ in range(3)]
@@ -112,22 +112,24 @@
         self.entries = [
             Node("entry", f"entry-{n}", seeds, folder) for n in range(2)
         ]
-        places = ",".join(f"{LOOPBACK}:{c.port}" for c in self.controls)
+        addresses = ",".join(f"{LOOPBACK}:{c.port}" for c in self.controls)
         self.workers = subprocess.Popen(
             [
                 sys.executable,
                 "-m",
                 "clayfield.testbed.poolworkers",
-                f"--control={places}",
+                f"--control={addresses}",
             ],
             stdout=subprocess.PIPE,
         )
         self.workers.stdout.readline()
 
     def write(self, routing):
-        """Returns the status of the first control node that takes it."""
-        statuses = [c.ask("PUT", "/v1/routing", routing) for c in self.controls]
-        return [one for one in statuses if one[0] not in (0, 307, 503)]
+        """Sends a routing to all control nodes; returns the final replies."""
+        replies = [
+            c.request("PUT", "/v1/routing", routing) for c in self.controls
+        ]
+        return [reply for reply in replies if reply[0] not in (0, 307, 503)]
 
     def stop(self):
         for node in (*self.controls, *self.entries):
@@ -140,20 +142,21 @@
 
 @pytest.fixture(scope="module")
 def pool(tmp_path_factory):
-    running = Pool(tmp_path_factory.mktemp("pool"))
+    started = Pool(tmp_path_factory.mktemp("pool"))
     try:
-        wait_for(lambda: running.write(ROUTING), "routing taken")
-        for entry in running.entries:
+        wait_for(lambda: started.write(ROUTING), "routing accepted")
+        for entry in started.entries:
             wait_for(lambda entry=entry: entry.is_ready, f"{entry.log}")
         wait_for(
-            lambda: _holds_workers(running), "the holder knows the workers"
+            lambda: _has_holder_with_workers(started),
+            "the holder schedules the workers",
         )
-        yield running
+        yield started
     finally:
-        running.stop()
+        started.stop()
 
 
-def _holds_workers(pool):
+def _has_holder_with_workers(pool):
     texts = [
         fetch(f"http://{LOOPBACK}:{entry.metrics}/metrics").decode()
         for entry in pool.entries
@@ -162,10 +165,10 @@
 
 
 def _submit(entry, key, job=JOB):
-    return entry.ask("PUT", f"/v1/queues/fast/jobs/{key}", job)
+    return entry.request("PUT", f"/v1/queues/fast/jobs/{key}", job)
 
 
-def test_a_job_of_steps_is_answered_by_any_entry(pool):
+def test_job_completes_through_any_entry_node(pool):
     for number, entry in enumerate(pool.entries):
         status, body, _ = _submit(entry, f"first-{number}")
         assert (status, json.loads(body)) == (200, {"verdict": "completed"})
@@ -179,12 +182,12 @@
 
 
 def _state(entry, key):
-    status, body, _ = entry.ask("GET", f"/v1/queues/fast/jobs/{key}")
+    status, body, _ = entry.request("GET", f"/v1/queues/fast/jobs/{key}")
     return json.loads(body).get("state") if status == 200 else status
 
 
 def _job_command(pool, *arguments):
-    done = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -199,10 +202,10 @@
         timeout=60,
         check=False,
     )
-    return done.returncode, json.loads(done.stdout or "{}")
+    return completed.returncode, json.loads(completed.stdout or "{}")
 
 
-def test_a_kept_job_is_accepted_and_told_of_by_any_entry(pool):
+def test_kept_job_is_accepted_and_reported_by_any_entry_node(pool):
     status, body, _ = _submit(pool.entries[0], "kept", KEPT)
     assert (status, json.loads(body)) == (202, {"verdict": "accepted"})
     for entry in pool.entries:
@@ -213,7 +216,7 @@
     assert _state(pool.entries[0], "never-put") == 404
 
 
-def test_the_command_line_puts_jobs_and_tells_of_them(pool, tmp_path):
+def test_command_line_submits_jobs_and_shows_their_state(pool, tmp_path):
     file = tmp_path / "job.json"
     file.write_text(json.dumps(KEPT))
     put = _job_command(pool, "put", "fast", "by-command", str(file))
@@ -221,35 +224,37 @@
     wait_for(
         lambda: _state(pool.entries[0], "by-command") == "completed", "ended"
     )
-    told = _job_command(pool, "state", "fast", "by-command")
-    assert told == (0, {"key": "by-command", "state": "completed"})
+    state = _job_command(pool, "state", "fast", "by-command")
+    assert state == (0, {"key": "by-command", "state": "completed"})
     code, problem = _job_command(pool, "state", "fast", "never-put")
     assert (code, problem["code"]) == (1, "CF108")
 
 
-def test_the_routing_is_read_back_as_it_was_written(pool):
-    reads = [c.ask("GET", "/v1/routing") for c in pool.controls]
-    found = [body for status, body, _ in reads if status == 200]
+def test_leader_returns_routing_and_others_redirect(pool):
+    replies = [c.request("GET", "/v1/routing") for c in pool.controls]
+    found = [body for status, body, _ in replies if status == 200]
     assert [json.loads(body) for body in found] == [ROUTING]
-    moved = [
-        headers["Location"] for status, _, headers in reads if status == 307
+    locations = [
+        headers["Location"] for status, _, headers in replies if status == 307
     ]
-    assert all(place.endswith("/v1/routing") for place in moved)
+    assert all(location.endswith("/v1/routing") for location in locations)
 
 
 @pytest.mark.parametrize(
-    ("change", "word"),
+    ("change", "expected_text"),
     [
         ({"services": []}, "no service"),
         ({"version": 0}, "version"),
         ({"queues": [{**ROUTING["queues"][0], "timeout_ms": 0}]}, "timeout_ms"),
-        ({"queues": ROUTING["queues"] * 2}, "stands twice"),
+        ({"queues": ROUTING["queues"] * 2}, "is listed twice"),
     ],
 )
-def test_an_invalid_routing_is_refused_with_its_faults(pool, change, word):
-    answers = pool.write({**ROUTING, "version": 9, **change})
-    assert {status for status, _, _ in answers} == {422}
-    assert word in json.loads(answers[0][1])["detail"]
+def test_invalid_routing_is_rejected_with_its_problems(
+    pool, change, expected_text
+):
+    replies = pool.write({**ROUTING, "version": 9, **change})
+    assert {status for status, _, _ in replies} == {422}
+    assert expected_text in json.loads(replies[0][1])["detail"]
 
 
 @pytest.mark.parametrize(
@@ -263,14 +268,14 @@
         ({**JOB, "steps": [{"count": 1, "cpu": 99_999}]}, 503, "CF204"),
     ],
 )
-def test_bad_jobs_get_a_typed_error_with_its_remedy(pool, job, status, code):
-    answer, body, _ = _submit(pool.entries[0], "bad", job)
+def test_invalid_job_gets_error_code_and_remedy(pool, job, status, code):
+    status_of_reply, body, _ = _submit(pool.entries[0], "bad", job)
     problem = json.loads(body)
-    assert (answer, problem["code"]) == (status, code)
+    assert (status_of_reply, problem["code"]) == (status, code)
     assert problem["remedy"]
 
 
-def test_a_log_line_tells_why_a_job_ended(pool):
+def test_log_has_verdict_and_start_count_of_a_job(pool):
     _submit(pool.entries[0], "traced")
     lines = [
         json.loads(line)
@@ -283,7 +288,7 @@
     assert by_name["JOB_ENDED"]["starts"] == 4
 
 
-def test_a_stopped_entry_answers_what_is_open_and_is_not_ready(pool):
+def test_stopping_entry_node_is_not_ready_but_serves_jobs(pool):
     entry = pool.entries[0]
     conn = http.client.HTTPConnection(LOOPBACK, entry.port, timeout=30)
     entry.process.send_signal(signal.SIGTERM)
@@ -298,7 +303,7 @@
     wait_for(lambda: entry.is_ready, "ready again")
 
 
-def test_killed_nodes_are_followed_by_others(pool):
+def test_remaining_nodes_serve_jobs_after_kills(pool):
     pool.entries[1].kill()
     pool.controls[0].kill()
     wait_for(lambda: _submit(pool.entries[0], "after-kill")[0] == 200, "served")
@@ -308,10 +313,10 @@
     assert _submit(pool.entries[1], "after-return")[0] == 200
 
 
-def test_kept_jobs_are_known_after_all_control_nodes_were_killed(pool):
+def test_kept_jobs_survive_restart_of_all_control_nodes(pool):
     for number in range(4):
-        answer = _submit(pool.entries[0], f"safe-{number}", KEPT)
-        assert answer[0] == 202
+        reply = _submit(pool.entries[0], f"safe-{number}", KEPT)
+        assert reply[0] == 202
     for control in pool.controls:
         control.kill()
     for control in pool.controls:
@@ -321,7 +326,7 @@
             lambda n=number: (
                 _state(pool.entries[1], f"safe-{n}") == "completed"
             ),
-            "known and ended",
+            "completed",
         )
     wait_for(
         lambda: _submit(pool.entries[1], "again", KEPT)[0] == 202, "accepted"
@@ -329,20 +334,22 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "word"),
+    ("arguments", "expected_text"),
     [
         (["entry"], "--node"),
         (["control", "--node=a", "--peers=1:1", "--seeds=1:1"], "--operators"),
         (["entry", "--node=a", "--peers=nothing", "--seeds=1:1"], "--peers"),
     ],
 )
-def test_bad_settings_end_with_their_faults(arguments, word):
-    done = subprocess.run(
+def test_invalid_settings_are_reported_with_exit_code_2(
+    arguments, expected_text
+):
+    completed = subprocess.run(
         [sys.executable, "-m", "clayfield.node.main", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert word in done.stderr
+    assert completed.returncode == 2
+    assert expected_text in completed.stderr
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's formats, as its pages show them."""
+"""Tests of the platform's message and settings formats."""
 
 import json
 import pathlib
@@ -100,7 +100,7 @@
     return PlatformCallers().read_call(request, _routes())
 
 
-def test_a_job_is_read_with_what_its_route_says():
+def test_submitted_job_gets_settings_of_its_route():
     call = _call("POST", f"/q/{KEY}", JOB, **{"clayfield-deadline-ms": "2210"})
     job = call.job
     assert isinstance(call, SubmitCall)
@@ -111,7 +111,7 @@
     assert (step.count, step.cpu, step.memory_mb) == (4, 500, 256)
 
 
-def test_the_longest_prefix_gets_the_request():
+def test_longest_matching_prefix_selects_the_route():
     call = _call("POST", f"/q/long/{KEY}", JOB)
     assert call.job.queue == "r-2"
 
@@ -134,7 +134,7 @@
         ("POST", f"/q/{KEY}", {**JOB, "repeats": 9000}, 413),
     ],
 )
-def test_what_is_not_served_is_answered_at_once(method, path, body, status):
+def test_invalid_request_gets_error_status(method, path, body, status):
     reply = _call(method, path, body)
     assert isinstance(reply, HttpReply)
     assert reply.status == status
@@ -143,12 +143,12 @@
 
 
 @pytest.mark.parametrize(("fields", "is_kept"), [({}, True), (JOB, False)])
-def test_a_job_is_kept_unless_its_client_says_otherwise(fields, is_kept):
+def test_job_is_kept_unless_best_effort(fields, is_kept):
     body = {"spec": JOB["spec"], "steps": JOB["steps"], **fields}
     assert _call("POST", f"/q/{KEY}", body).job.is_kept == is_kept
 
 
-def test_what_a_step_asks_for_is_read():
+def test_requirements_of_a_step_are_decoded():
     fields = {
         "count": 2,
         "gang": True,
@@ -176,14 +176,14 @@
     )
 
 
-def test_the_times_of_a_job_are_read():
+def test_schedule_of_a_job_is_decoded():
     times = {"repeats": 3, "start_delay_ms": 1e12, "interval_ms": 500}
     job = _call("POST", f"/q/{KEY}", {**JOB, **times}).job
     assert job.schedule == Schedule(3, 1e12, 500)
     assert job.task_count == 12
 
 
-def test_reads_and_cancels():
+def test_state_count_and_cancel_requests_are_decoded():
     assert isinstance(_call("GET", f"/q/{KEY}"), StateCall)
     assert isinstance(_call("DELETE", f"/q/{KEY}"), CancelCall)
     assert _call("GET", "/q/").queue == "r-1"
@@ -191,7 +191,7 @@
     assert _call("GET", "/nothing/").status == 404
 
 
-def test_without_a_configuration_the_caller_is_to_come_back():
+def test_request_without_configuration_gets_503():
     reply = PlatformCallers().read_call(
         _request("POST", f"/q/{KEY}", JOB), Routes()
     )
@@ -212,7 +212,9 @@
         (Verdict.REFUSED, Reason.TOO_MANY, 429, "2"),
     ],
 )
-def test_how_ends_are_told(verdict, reason, status, retry):
+def test_verdict_on_a_job_sets_status_and_retry_after(
+    verdict, reason, status, retry
+):
     ended = JobEnded(KEY, verdict, reason, 1200.0)
     reply = PlatformCallers().write_job_reply(ended)
     assert reply.status == status
@@ -220,7 +222,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "status", "state"),
+    ("state_reply", "status", "state"),
     [
         (StateTold(1, JobState.RUNNING, True), 200, "running"),
         (StateTold(1, JobState.COMPLETED, True), 200, "completed"),
@@ -229,19 +231,19 @@
         (None, 503, None),
     ],
 )
-def test_how_states_are_told(told, status, state):
-    reply = PlatformCallers().write_state_reply(told)
+def test_job_state_sets_status_and_body(state_reply, status, state):
+    reply = PlatformCallers().write_state_reply(state_reply)
     assert reply.status == status
     if state:
         assert json.loads(reply.body) == {"state": state}
 
 
-def _changed(path, value):
+def _config_with(path, value):
     config = json.loads(json.dumps(CONFIG))
-    place = config
+    container = config
     for step in path[:-1]:
-        place = place[step]
-    place[path[-1]] = value
+        container = container[step]
+    container[path[-1]] = value
     return config
 
 
@@ -249,21 +251,21 @@
     "config",
     [
         json.dumps(CONFIG).encode()[:-40],
-        _changed(["routes", 0, "service"], "unknown"),
-        _changed(["routes", 1, "path_prefix"], "/q/"),
-        _changed(["routes", 0, "timeout_ms"], 0),
-        _changed(["version"], 0),
-        _changed(["version"], "seven"),
+        _config_with(["routes", 0, "service"], "unknown"),
+        _config_with(["routes", 1, "path_prefix"], "/q/"),
+        _config_with(["routes", 0, "timeout_ms"], 0),
+        _config_with(["version"], 0),
+        _config_with(["version"], "seven"),
         b"\xff\xfe",
         b"[]",
     ],
 )
-def test_an_invalid_configuration_is_refused_whole(config):
+def test_invalid_configuration_is_rejected(config):
     request = _request("PUT", "/-/config", config)
     assert PlatformOperators().read_call(request).status == 400
 
 
-def test_a_valid_configuration_is_kept_as_it_was_written():
+def test_valid_configuration_is_passed_on_unchanged():
     document = json.dumps({**CONFIG, "unknown": [1, 2]}, indent=3).encode()
     call = PlatformOperators().read_call(_request("PUT", "/-/config", document))
     assert isinstance(call, WriteCall)
@@ -272,7 +274,7 @@
     assert isinstance(read, ReadCall)
 
 
-def test_a_workers_statement_is_read():
+def test_heartbeat_and_leave_of_a_worker_are_decoded():
     body = {
         "service": "s",
         "address": "10.0.0.9:80",
@@ -294,15 +296,17 @@
     assert (info.name, info.state) == ("i-7", WorkerState.DRAINING)
     assert (info.cpu, info.memory_mb, info.gpu) == (16000, 32768, 1)
     assert info.labels == ("a", "r1-3")
-    left = PlatformOperators().read_call(_request("DELETE", "/-/instances/i-7"))
-    assert isinstance(left, LeaveCall)
-    assert left.name == "i-7"
+    leave = PlatformOperators().read_call(
+        _request("DELETE", "/-/instances/i-7")
+    )
+    assert isinstance(leave, LeaveCall)
+    assert leave.name == "i-7"
 
 
 TASK = TaskId(KEY, 1, 17)
 
 
-def _sent(request):
+def _parse_request(request):
     head, _, body = request.partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     headers = dict(line.split(": ", 1) for line in lines[1:])
@@ -310,31 +314,35 @@
     return lines[0], headers, json.loads(body)
 
 
-def test_a_start_brings_its_time_its_checkpoint_and_its_ticket():
+def test_start_request_has_iteration_checkpoint_and_ticket():
     task_id = TaskId(KEY, 1, 17, 3)
     start = StartRun("i-1", "1.2.3.4:5", task_id, 2, "t", 9.0, 7, "00b", "c8")
-    _, _, body = _sent(PlatformWorkers().write_start(start))
+    _, _, body = _parse_request(PlatformWorkers().write_start(start))
     assert body["task"] == f"{KEY}.3.1.17"
     assert (body["checkpoint"], body["ticket"]) == ("00b", "c8")
 
 
-def test_the_advisor_is_asked_and_heard():
+def test_advisor_request_is_encoded_and_reply_decoded():
     protocol = PlatformWorkers()
-    ask = AskAdvisor(1, KEY, 0, 1, ["i-1", "i-2"])
-    line, headers, body = _sent(protocol.write_question(ask, "1.2.3.4:5"))
+    command = AskAdvisor(1, KEY, 0, 1, ["i-1", "i-2"])
+    line, headers, body = _parse_request(
+        protocol.write_question(command, "1.2.3.4:5")
+    )
     assert line == "POST /-/advise HTTP/1.1"
     assert "Clayfield-Target-Instance" not in headers
     assert body == {"step": f"{KEY}.0.1", "workers": ["i-1", "i-2"]}
-    good = CallResult(
-        CallOutcome.ANSWERED, 200, b'{"good":[["i-1","c81e"]],"valid_ms":3000}'
+    result = CallResult(
+        CallOutcome.ANSWERED,
+        200,
+        b'{"good":[["i-1","c81e"]],"valid_ms":3000}',
     )
-    advice = protocol.read_advice(good)
+    advice = protocol.read_advice(result)
     assert (advice.is_answer, advice.tickets) == (True, {"i-1": "c81e"})
     assert advice.valid_ms == 3000
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "result",
     [
         CallResult(CallOutcome.ANSWERED, 429, b""),
         CallResult(CallOutcome.ANSWERED, 200, b"{"),
@@ -342,14 +350,14 @@
         CallResult(CallOutcome.UNREACHED),
     ],
 )
-def test_an_advisor_that_is_busy_or_silent_gives_no_advice(answer):
-    assert not PlatformWorkers().read_advice(answer).is_answer
+def test_failed_advisor_call_gives_no_advice(result):
+    assert not PlatformWorkers().read_advice(result).is_answer
 
 
-def test_orders_are_written_as_the_pages_show_them():
+def test_worker_requests_have_the_platforms_format():
     protocol = PlatformWorkers()
     start = StartRun("i-1", "10.0.0.9:80", TASK, 2, "text", 486000.7, 7)
-    line, headers, body = _sent(protocol.write_start(start))
+    line, headers, body = _parse_request(protocol.write_start(start))
     assert line == "POST /-/run-start HTTP/1.1"
     assert headers["Clayfield-Target-Instance"] == "i-1"
     assert body == {
@@ -360,10 +368,10 @@
         "fence": 7,
     }
     stop = StopRun("i-1", "10.0.0.9:80", TASK, 2, 7)
-    _, _, body = _sent(protocol.write_stop(stop))
+    _, _, body = _parse_request(protocol.write_stop(stop))
     assert body == {"task": f"{KEY}.0.1.17", "run": 2, "fence": 7}
-    hold = HoldWorker("i-1", "10.0.0.9:80", 57, 400, None, 7, 1)
-    _, _, body = _sent(protocol.write_hold(hold))
+    poll = HoldWorker("i-1", "10.0.0.9:80", 57, 400, None, 7, 1)
+    _, _, body = _parse_request(protocol.write_hold(poll))
     assert body == {"fence": 7, "seen_upto": 57, "wait_ms": 400}
 
 
@@ -381,27 +389,33 @@
         (503, {}, OrderResult.UNHEALTHY),
     ],
 )
-def test_answers_to_orders_are_read(status, body, result):
-    answer = CallResult(CallOutcome.ANSWERED, status, json.dumps(body).encode())
-    assert PlatformWorkers().read_order_answer(answer).result is result
+def test_reply_to_a_start_is_decoded(status, body, result):
+    call_result = CallResult(
+        CallOutcome.ANSWERED, status, json.dumps(body).encode()
+    )
+    assert PlatformWorkers().read_order_answer(call_result).result is result
 
 
-def test_lists_of_workers_are_read():
+def test_poll_reply_is_decoded():
     body = {
         "clock_ms": 482113,
         "running": [[f"{KEY}.0.1.17", 2, "00000bb8", 41]],
         "ended": [[58, f"{KEY}.0.1.9", 1, "done", ""]],
     }
-    answer = CallResult(CallOutcome.ANSWERED, 200, json.dumps(body).encode())
-    held = PlatformWorkers().read_hold_answer(answer)
-    assert held.result is OrderResult.DONE
-    assert held.running[0].task_id == TASK
-    assert held.running[0].percent == 41
-    ended = held.ended[0]
+    call_result = CallResult(
+        CallOutcome.ANSWERED, 200, json.dumps(body).encode()
+    )
+    reply = PlatformWorkers().read_hold_answer(call_result)
+    assert reply.result is OrderResult.DONE
+    assert reply.running[0].task_id == TASK
+    assert reply.running[0].percent == 41
+    ended = reply.ended[0]
     assert (ended.sequence, ended.kind) == (58, EndKind.DONE)
     assert ended.task_id == read_task(f"{KEY}.0.1.9")
-    cut = CallResult(CallOutcome.ANSWERED, 200, b'{"clock_ms":')
-    assert PlatformWorkers().read_hold_answer(cut).result is OrderResult.LOST
+    truncated = CallResult(CallOutcome.ANSWERED, 200, b'{"clock_ms":')
+    assert (
+        PlatformWorkers().read_hold_answer(truncated).result is OrderResult.LOST
+    )
 
 
 BOOT = {
@@ -422,14 +436,14 @@
 }
 
 
-def _written(tmp_path, **changes):
+def _write_boot(tmp_path, **changes):
     path = tmp_path / "boot.yaml"
     path.write_text(yaml.safe_dump({**BOOT, **changes}))
     return str(path)
 
 
-def test_the_settings_file_is_read(tmp_path):
-    cfg = to_settings(read_boot(_written(tmp_path)))
+def test_settings_file_is_converted(tmp_path):
+    cfg = to_settings(read_boot(_write_boot(tmp_path)))
     assert cfg.seeds == (("10.1.0.16", 7720), ("10.2.0.33", 7720))
     assert cfg.callers == ("10.1.0.13", 8161)
     assert cfg.operators is None
@@ -439,7 +453,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "setting"),
     [
         ({"orders": "heartbeat"}, "orders"),
         ({"discovery": "list"}, "discovery"),
@@ -448,12 +462,12 @@
         ({"ip": None}, "ip"),
     ],
 )
-def test_settings_that_are_not_served_are_refused(tmp_path, changes, named):
-    with pytest.raises(ClayfieldError, match=named):
-        read_boot(_written(tmp_path, **changes))
+def test_unsupported_setting_is_rejected_by_name(tmp_path, changes, setting):
+    with pytest.raises(ClayfieldError, match=setting):
+        read_boot(_write_boot(tmp_path, **changes))
 
 
-def test_nothing_outside_knows_the_platforms_names():
+def test_packages_contain_no_platform_names():
     names = re.compile(
         r"/-/|clayfield-(deadline-ms|target-instance|instance-id|lease-holder"
         r"|fencing-token)",
@@ -463,7 +477,7 @@
         assert not names.search(path.read_text()), path
 
 
-OWN_ROUTING = {
+NATIVE_ROUTING = {
     "version": 7,
     "queues": [
         {
@@ -479,11 +493,11 @@
     ],
     "services": [{"name": "s"}],
 }
-OWN_JOB = {
+NATIVE_JOB = {
     "spec": "text",
     "steps": [{"count": 4, "cpu": 500, "memory_mb": 256, "estimate_ms": 900}],
 }
-OWN_STATEMENT = {
+NATIVE_HEARTBEAT = {
     "service": "s",
     "address": "10.0.0.9:80",
     "hall": "z",
@@ -493,7 +507,7 @@
     "memory_mb": 32768,
     "labels": ["a"],
 }
-STATEMENT = {
+HEARTBEAT = {
     "service": "s",
     "address": "10.0.0.9:80",
     "zone": "z",
@@ -504,9 +518,9 @@
 }
 
 
-def _decisions(callers, operators, config, statement, job, path):
-    """Returns the orders that follow from one job on one worker."""
-    put = _request("PUT", statement[0], statement[1])
+def _commands_for_job(callers, operators, config, heartbeat, job, path):
+    """Returns the commands for one job on one worker."""
+    put = _request("PUT", heartbeat[0], heartbeat[1])
     info = operators.read_call(put).info
     routes = Routes(operators.read_table(json.dumps(config).encode()))
     call = callers.read_call(_request("POST", path, job), routes)
@@ -515,32 +529,35 @@
     dispatcher.on_worker(info)
     dispatcher.tick()
     dispatcher.take_actions()
-    held = HoldAnswer(OrderResult.DONE, 5000.0)
-    dispatcher.fleet.on_hold_answer(info.name, 8_000_001, 1000.0, held)
+    reply = HoldAnswer(OrderResult.DONE, 5000.0)
+    dispatcher.fleet.on_hold_answer(info.name, 8_000_001, 1000.0, reply)
     dispatcher.on_submit("entry/1", SubmitJob(call.job, 0.0, 1))
     dispatcher.place()
     return [
-        (type(order).__name__, *(getattr(order, n) for n in order.__slots__))
-        for order in dispatcher.take_actions()
+        (
+            type(command).__name__,
+            *(getattr(command, n) for n in command.__slots__),
+        )
+        for command in dispatcher.take_actions()
     ]
 
 
-def test_the_same_job_leads_to_the_same_decisions_by_either_protocol():
-    own = _decisions(
+def test_native_and_platform_protocols_give_the_same_commands():
+    native = _commands_for_job(
         OwnCallers(),
         OwnOperators(),
-        OWN_ROUTING,
-        ("/v1/workers/i-7", OWN_STATEMENT),
-        OWN_JOB,
+        NATIVE_ROUTING,
+        ("/v1/workers/i-7", NATIVE_HEARTBEAT),
+        NATIVE_JOB,
         f"/v1/queues/r-1/jobs/{KEY}",
     )
-    theirs = _decisions(
+    platform = _commands_for_job(
         PlatformCallers(),
         PlatformOperators(),
         {**CONFIG, "routes": CONFIG["routes"][:1]},
-        ("/-/instances/i-7", STATEMENT),
+        ("/-/instances/i-7", HEARTBEAT),
         JOB,
         f"/q/{KEY}",
     )
-    assert own == theirs
-    assert [order[0] for order in own].count("StartRun") == 4
+    assert native == platform
+    assert [command[0] for command in native].count("StartRun") == 4
