--- a/packages/node/src/clayfield/node/control_process.py
+++ b/packages/node/src/clayfield/node/control_process.py
@@ -50,7 +50,11 @@
 
 
 class ControlProcess(NodeProcess, StreamListener):
-    """The process of one control node."""
+    """The process of one control node.
+
+    Decisions are made by `ControlNode`; this class connects it to the network
+    and the disk.
+    """
 
     def __init__(
         self,
@@ -58,6 +62,13 @@
         operators: OperatorProtocol,
         reload_settings: Callable[[], NodeSettings],
     ):
+        """Opens the store and creates the process; `run` starts it.
+
+        Args:
+            cfg: the settings of the node.
+            operators: protocol for operators and workers' heartbeats.
+            reload_settings: returns the settings, read again.
+        """
         super().__init__(cfg.name, ROLE)
         self._cfg = cfg
         self._operators = operators
@@ -91,9 +102,9 @@
 
     def _open_store(self) -> Store:
         """Opens the store; on first start writes the initial voters to it."""
-        own = place_text(self._cfg.peers)
+        own_address = place_text(self._cfg.peers)
         seeds = [place_text(seed) for seed in self._cfg.seeds]
-        is_first = self._cfg.is_first_start and own in seeds
+        is_first = self._cfg.is_first_start and own_address in seeds
         store = Store(
             self._cfg.data_folder, identity=FIRST_STORE_ID if is_first else None
         )
@@ -175,6 +186,7 @@
         _reply(request, HttpReply(200))
 
     def _on_write(self, request: HttpRequest, call: WriteCall) -> None:
+        """Starts a write of the configuration, or redirects to the leader."""
         self._last_request_id += 1
         request_id = self._last_request_id
         is_accepted = self._control.write(
--- a/packages/node/src/clayfield/node/entry_process.py
+++ b/packages/node/src/clayfield/node/entry_process.py
@@ -56,8 +56,8 @@
 ROLE = "entry"
 INCARNATION_BYTES = 6
 TICKS_PER_CHECK = 25
-# Time after the start of a planned stop during which new jobs are accepted:
-# load balancers need it to notice that the node is no longer ready.
+# Time after the start of a planned stop during which new jobs are accepted, as
+# new connections may still arrive.
 MIN_DRAIN_MS = 2600.0
 # The process ends this long before the grace period is over.
 GRACE_MARGIN_MS = 500.0
@@ -85,7 +85,10 @@
 
 
 class EntryProcess(NodeProcess, StreamListener):
-    """The process of one entry node."""
+    """The process of one entry node.
+
+    Decisions are made by `Entry`; this class connects it to the network.
+    """
 
     def __init__(
         self,
@@ -95,6 +98,16 @@
         workers: WorkerProtocol,
         reload_settings: Callable[[], NodeSettings],
     ):
+        """Creates the process; `run` starts it.
+
+        Args:
+            cfg: the settings of the node.
+            callers: protocol for callers.
+            operators: protocol for operators, here the decoder of
+                configurations.
+            workers: protocol for workers and the advisor.
+            reload_settings: returns the settings, read again.
+        """
         super().__init__(cfg.name, ROLE)
         self._cfg = cfg
         self._callers = callers
@@ -127,7 +140,7 @@
         self._ticks = 0
         self._stop_started_ms: float | None = None
         self._was_ready = False
-        self._was_holding = False
+        self._was_holder = False
 
     def start(self) -> None:
         """Starts to listen and connects to the control nodes."""
@@ -155,10 +168,10 @@
         if self._entry.is_ready != self._was_ready:
             self._was_ready = self._entry.is_ready
             emit(Event.READY if self._was_ready else Event.NOT_READY)
-        is_holding = self._entry.dispatcher is not None
-        if is_holding != self._was_holding:
-            self._was_holding = is_holding
-            event = Event.HOLDING if is_holding else Event.HOLDING_ENDED
+        is_holder = self._entry.dispatcher is not None
+        if is_holder != self._was_holder:
+            self._was_holder = is_holder
+            event = Event.HOLDING if is_holder else Event.HOLDING_ENDED
             emit(event, epoch=self._entry.grant.epoch)
 
     def reload(self) -> None:
--- a/packages/node/src/clayfield/node/httpserver.py
+++ b/packages/node/src/clayfield/node/httpserver.py
@@ -111,7 +111,14 @@
     content_type: str,
     headers: tuple[tuple[str, str], ...],
 ) -> bytes:
-    """Returns the bytes of a response."""
+    """Returns the bytes of a response.
+
+    Args:
+        status: HTTP status code.
+        body: body, empty for none.
+        content_type: value of Content-Type, if there is a body.
+        headers: further headers, pairs of name and value.
+    """
     reason = http.HTTPStatus(status).phrase
     lines = [f"HTTP/1.1 {status} {reason}", f"Content-Length: {len(body)}"]
     if body:
@@ -210,6 +217,7 @@
         self._headers[lower_name] = value.decode("latin-1")
 
     def _count_head(self, byte_count: int) -> None:
+        """Adds to the size of the head and rejects one over the limit."""
         self._head_bytes += byte_count
         if self._head_bytes > self._server.limits().header_bytes:
             self._reject(http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
--- a/packages/node/src/clayfield/node/metrics.py
+++ b/packages/node/src/clayfield/node/metrics.py
@@ -32,6 +32,7 @@
         )
 
     def _set(self, name: str, help_text: str, value: float) -> None:
+        """Sets a gauge, creating it on first use."""
         gauge = self._gauges.get(name)
         if gauge is None:
             gauge = Gauge(
--- a/packages/node/src/clayfield/node/streams.py
+++ b/packages/node/src/clayfield/node/streams.py
@@ -96,6 +96,7 @@
             self.transport.abortConnection()
 
     def _on_greeting(self, string: bytes) -> None:
+        """Handles the first frame, which identifies the peer."""
         greeting = decode_node_greeting(string)
         if greeting.cluster != self._streams.greeting.cluster:
             raise ClayfieldError(
