--- a/packages/node/src/clayfield/node/metrics.py
+++ b/packages/node/src/clayfield/node/metrics.py
@@ -1,4 +1,4 @@
-"""What a node counts, served in the form that Prometheus reads."""
+"""The metrics of a node, served in the Prometheus text format."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
@@ -20,7 +20,7 @@
 
 
 class NodeMetrics:
-    """The metrics that both kinds of node have."""
+    """The metrics of nodes of both roles."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -31,53 +31,64 @@
             registry=self._registry,
         )
 
-    def _set(self, name: str, text: str, value: float) -> None:
+    def _set(self, name: str, help_text: str, value: float) -> None:
+        """Sets a gauge, creating it on first use."""
         gauge = self._gauges.get(name)
         if gauge is None:
-            gauge = Gauge(f"clayfield_{name}", text, registry=self._registry)
+            gauge = Gauge(
+                f"clayfield_{name}", help_text, registry=self._registry
+            )
             self._gauges[name] = gauge
         gauge.set({}, value)
 
     def render(self) -> bytes:
-        """Returns all metrics as text."""
+        """Returns all metrics in the Prometheus text format."""
         self._dropped.set({}, lines_dropped())
-        self._read()
+        self._update()
         content, _ = render(self._registry, ["text/plain"])
         return content
 
-    def _read(self) -> None:
-        """Brings the gauges up to date."""
+    def _update(self) -> None:
+        """Sets the gauges to the current values."""
 
 
 class EntryMetrics(NodeMetrics):
-    """The metrics of an entry."""
+    """The metrics of an entry node."""
 
     def __init__(self, entry: Entry):
         super().__init__()
         self._entry = entry
-        self._ended = Counter(
+        self._jobs_ended = Counter(
             "clayfield_jobs_ended_total",
             "Jobs answered, by queue, verdict and reason.",
             registry=self._registry,
         )
-        self._response = Histogram(
+        self._response_times = Histogram(
             "clayfield_job_response_ms",
             "From a job's arrival to its answer, by queue.",
             buckets=RESPONSE_BUCKETS,
             registry=self._registry,
         )
 
-    def on_answered(self, queue: str, ended: JobEnded, took_ms: float) -> None:
-        """Takes the answer of a job."""
+    def on_answered(
+        self, queue: str, ended: JobEnded, response_ms: float
+    ) -> None:
+        """Counts a job whose caller got a response.
+
+        Args:
+            queue: name of the job's queue.
+            ended: verdict on the job and its reason.
+            response_ms: time from the job's arrival to the response.
+        """
         labels = {
             "queue": queue,
             "verdict": ended.verdict.name.lower(),
             "reason": ended.reason.value,
         }
-        self._ended.inc(labels)
-        self._response.observe({"queue": queue}, took_ms)
+        self._jobs_ended.inc(labels)
+        self._response_times.observe({"queue": queue}, response_ms)
 
-    def _read(self) -> None:
+    def _update(self) -> None:
         entry = self._entry
         self._set("open_jobs", "Jobs without an answer.", entry.open_jobs)
         self._set("ready", "Whether it takes callers.", int(entry.is_ready))
@@ -105,29 +116,29 @@
         super().__init__()
         self._control = control
 
-    def _read(self) -> None:
+    def _update(self) -> None:
         control = self._control
         self._set("leading", "Whether it leads.", int(control.is_sure))
         self._set("term", "Of the log.", control.consensus.term)
         self._set("log_index", "Committed.", control.consensus.commit)
         self._set("config_version", "In force.", control.state.version)
         self._set("epoch", "Of the latest grant.", control.state.grant.epoch)
-        known = len(control.workers.all())
-        self._set("known_workers", "That made statements.", known)
+        worker_count = len(control.workers.all())
+        self._set("known_workers", "That made statements.", worker_count)
 
 
 class MetricsServer:
-    """Serves a node's metrics at an address of its own."""
+    """Serves a node's metrics over HTTP at a separate address."""
 
     def __init__(self, reactor: interfaces.IReactorTCP, metrics: NodeMetrics):
         self._metrics = metrics
         self._server = HttpServer(reactor, self._on_request, HttpBounds)
 
     def start(self, cfg: NodeSettings) -> None:
-        """Listens, where the settings name an address.
+        """Starts to listen if the settings name an address for metrics.
 
         Raises:
-            twisted.internet.error.CannotListenError: the address is taken.
+            twisted.internet.error.CannotListenError: the address is in use.
         """
         if cfg.metrics:
             self._server.listen(cfg.metrics)
--- a/packages/node/src/clayfield/node/process.py
+++ b/packages/node/src/clayfield/node/process.py
@@ -1,4 +1,8 @@
-"""What both kinds of process share: signals, ticks, logs and their end."""
+"""Base class of node processes: signals, periodic work, logging, exit.
+
+Periodic work runs in ticks. A node's logic queues actions, such as messages
+to send; they run in the next iteration of the event loop.
+"""
 
 import abc
 import gc
@@ -13,37 +17,40 @@
 
 TICK_S = 0.02
 MS_PER_S = 1000.0
+# Net allocations between garbage collections; keeps their pauses rare.
 GC_ALLOCATIONS = 20_000
 
 
 class NodeProcess(abc.ABC):
-    """A process that ticks until it is told to stop.
+    """A process that runs until it is stopped by a signal or fails.
+
+    SIGTERM and SIGINT start a planned stop, SIGHUP reloads the settings.
 
     Attributes:
-        failure: why it could not go on, or "".
+        failure: reason for which the process ended itself, "" for none.
     """
 
     def __init__(self, name: str, role: str):
         self.failure = ""
         self._name = name
         self._role = role
-        self._is_due = False
+        self._is_scheduled = False
         self._is_ended = False
 
     def run(self) -> None:
-        """Runs until stopped."""
+        """Runs the event loop until the process ends."""
         globalLogBeginner.beginLoggingTo(
             [_log_failure], redirectStandardIO=False, discardBuffer=True
         )
         gc.freeze()
         gc.set_threshold(GC_ALLOCATIONS)
-        reactor.callWhenRunning(self._begin)
+        reactor.callWhenRunning(self._on_running)
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, _calling(self.begin_stop))
-        signal.signal(signal.SIGHUP, _calling(self.reload))
+            signal.signal(number, _make_signal_handler(self.begin_stop))
+        signal.signal(signal.SIGHUP, _make_signal_handler(self.reload))
         reactor.run(installSignalHandlers=False)
 
-    def _begin(self) -> None:
+    def _on_running(self) -> None:
         try:
             self.start()
         except Exception as exc:
@@ -56,34 +63,34 @@
         if self._is_ended:
             return
         reactor.callLater(TICK_S, self._tick)
-        self._contain(self.tick)
+        self._run_guarded(self.tick)
         self.kick()
 
-    def _contain(self, act: Callable[[], None]) -> None:
-        """Does something; an unexpected error is logged and goes no further."""
+    def _run_guarded(self, function: Callable[[], None]) -> None:
+        """Calls a function; logs an unexpected exception and drops it."""
         try:
-            act()
+            function()
         except Exception:
             emit(Event.INTERNAL, error=traceback.format_exc(limit=-4))
 
     def kick(self) -> None:
-        """Has what was decided carried out in this turn of the loop."""
-        if not self._is_due:
-            self._is_due = True
-            reactor.callLater(0, self._carry_out)
+        """Schedules `carry_out` for the next iteration of the event loop."""
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            reactor.callLater(0, self._run_scheduled_actions)
 
-    def _carry_out(self) -> None:
-        self._is_due = False
-        self._contain(self.carry_out)
+    def _run_scheduled_actions(self) -> None:
+        self._is_scheduled = False
+        self._run_guarded(self.carry_out)
 
     def fail(self, reason: str) -> None:
-        """Ends the process because it cannot go on."""
+        """Ends the process after an error from which it can't recover."""
         self.failure = reason
         emit(Event.NODE_FAILED, node=self._name, error=reason)
         self.end()
 
     def end(self) -> None:
-        """Ends the process."""
+        """Stops the event loop, which ends the process."""
         if self._is_ended:
             return
         self._is_ended = True
@@ -91,26 +98,26 @@
         reactor.stop()
 
     def call_later(
-        self, delay_s: float, act: Callable[[], None]
+        self, delay_s: float, function: Callable[[], None]
     ) -> interfaces.IDelayedCall:
-        """Has something done later."""
-        return reactor.callLater(delay_s, act)
+        """Schedules a function call after a delay."""
+        return reactor.callLater(delay_s, function)
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Listens and connects."""
+        """Starts to listen and connects to other nodes."""
 
     @abc.abstractmethod
     def tick(self) -> None:
-        """Lets time act."""
+        """Runs the periodic work; called every `TICK_S`."""
 
     @abc.abstractmethod
     def carry_out(self) -> None:
-        """Carries out what was decided."""
+        """Runs the queued actions."""
 
     @abc.abstractmethod
     def begin_stop(self) -> None:
-        """Begins a planned stop."""
+        """Starts a planned stop."""
 
     @abc.abstractmethod
     def reload(self) -> None:
@@ -118,11 +125,13 @@
 
 
 def _log_failure(event: LogEvent) -> None:
-    """Passes on errors that twisted has caught."""
+    """Logs exceptions that twisted has caught."""
     failure = event.get("log_failure")
     if failure is not None:
         emit(Event.INTERNAL, error=failure.getTraceback(elideFrameworkCode=1))
 
 
-def _calling(act: Callable[[], None]) -> Callable[[int, object], None]:
-    return lambda number, frame: reactor.callFromThread(act)
+def _make_signal_handler(
+    function: Callable[[], None],
+) -> Callable[[int, object], None]:
+    return lambda number, frame: reactor.callFromThread(function)
