--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target does its own set-up.
+# Each target that needs the virtual environment depends on $(STAMP).
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,4 @@
-"""Benchmarks: `python -m bench NAME`; docs/benchmarks.md explains each."""
+"""Benchmarks of clayfield, run by `python -m bench NAME`.
+
+docs/benchmarks.md describes each benchmark and its figures.
+"""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,10 +1,10 @@
-"""Runs a benchmark by its name."""
+"""Runs the benchmark that is named on the command line."""
 
 import argparse
 import importlib
 import sys
 
-NAMES = (
+BENCHMARKS = (
     "path",
     "policy",
     "alternatives",
@@ -17,12 +17,15 @@
 
 
 def main() -> None:
-    """Runs one benchmark; its last line is a JSON object."""
+    """Runs one benchmark; the last line it prints is a JSON object.
+
+    Flags after the name are passed to the benchmark.
+    """
     parser = argparse.ArgumentParser(prog="bench", description=__doc__)
-    parser.add_argument("name", choices=NAMES)
-    flags, rest = parser.parse_known_args()
+    parser.add_argument("name", choices=BENCHMARKS)
+    flags, benchmark_flags = parser.parse_known_args()
     module = importlib.import_module(f"bench.{flags.name}")
-    sys.exit(module.main(rest))
+    sys.exit(module.main(benchmark_flags))
 
 
 if __name__ == "__main__":
--- a/bench/alternatives.py
+++ b/bench/alternatives.py
@@ -1,10 +1,11 @@
-"""The alternatives to one scheduler a hall, side by side in one run.
-
-- random: every box uses every worker, picks one at random among those that
-  it does not fill itself, and lets workers refuse. The baseline.
-- partitioned: the workers are divided among the boxes.
-- single: one scheduler places every task of the hall. The product.
-- first_come: as single, but within a class the first to come goes first.
+"""Compares alternatives to a single scheduler per hall on equal workloads.
+
+- random: each box uses every worker and picks one at random among those that
+  its own tasks do not fill; the workers reject what exceeds their slots. This
+  is the baseline.
+- partitioned: the workers of a hall are divided among its boxes.
+- single: one scheduler places every task of the hall, as clayfield does.
+- first_come: like single, but jobs of one class are served in order of arrival.
 """
 
 import argparse
@@ -15,7 +16,7 @@
 from collections.abc import Callable
 from unittest import mock
 
-from bench.bounds import finish
+from bench.bounds import report
 from bench.policy import ONE_HALL, SEED, WARM_MS
 from bench.workload import Workload
 from clayfield.box import BoxCore
@@ -34,27 +35,30 @@
 LOADS = {"steady": 0.7, "near_full": 0.95, "overload": 1.5}
 
 
-class _OwnScheduler(BoxCore):
-    """A box that schedules for itself alone."""
+class _SelfSchedulingBox(BoxCore):
+    """A box with its own scheduler, which other boxes do not use."""
 
     def __init__(self, *args: object, **kwargs: object):
         super().__init__(*args, **kwargs)
-        self._own = Scheduler(self._clock, self.identity.hall, 1, self.cfg)
+        self._own_scheduler = Scheduler(
+            self._clock, self.identity.hall, 1, self.cfg
+        )
 
-    def _workers_of_box(self, workers: list[WorkerInfo]) -> list[WorkerInfo]:
+    def _select_workers(self, workers: list[WorkerInfo]) -> list[WorkerInfo]:
+        """Returns the workers that this box may use."""
         return workers
 
     def on_workers(self, workers: list[WorkerInfo]) -> None:
         super().on_workers(workers)
-        self._own.set_workers(self._workers_of_box(workers))
+        self._own_scheduler.set_workers(self._select_workers(workers))
 
     def tick(self) -> None:
         super().tick()
-        self._own.tick()
+        self._own_scheduler.tick()
 
     def _put_in_force(self) -> None:
         super()._put_in_force()
-        self._own.set_config(self.cfg)
+        self._own_scheduler.set_config(self.cfg)
 
     def _watch_scheduler(self) -> None:
         pass
@@ -62,19 +66,19 @@
     def _to_scheduler(self, message: Message) -> None:
         match message:
             case SlotRequest():
-                self._own.on_request(self.identity.node, message)
+                self._own_scheduler.on_request(self.identity.node, message)
             case SlotCancel():
-                self._own.on_cancel(self.identity.node, message)
+                self._own_scheduler.on_cancel(self.identity.node, message)
             case SlotRelease():
-                self._own.on_release(self.identity.node, message)
+                self._own_scheduler.on_release(self.identity.node, message)
 
     def _pump(self) -> None:
         while True:
             super()._pump()
-            self._own.assign()
-            if not self._own.outbox:
+            self._own_scheduler.assign()
+            if not self._own_scheduler.outbox:
                 return
-            outbox, self._own.outbox = self._own.outbox, []
+            outbox, self._own_scheduler.outbox = self._own_scheduler.outbox, []
             for _, message in outbox:
                 if isinstance(message, SlotGrant):
                     self.entry.on_grant(message)
@@ -82,20 +86,22 @@
                     self.entry.on_refuse(message)
 
 
-class PartitionedBox(_OwnScheduler):
-    """A box that uses its share of the workers."""
+class PartitionedBox(_SelfSchedulingBox):
+    """A box that uses its own share of the workers."""
 
-    def _workers_of_box(self, workers: list[WorkerInfo]) -> list[WorkerInfo]:
+    def _select_workers(self, workers: list[WorkerInfo]) -> list[WorkerInfo]:
         boxes = self.identity.boxes_in(self.identity.hall)
-        own = boxes.index(self.identity.box)
-        return [w for n, w in enumerate(workers) if n % len(boxes) == own]
+        position = boxes.index(self.identity.box)
+        return [w for n, w in enumerate(workers) if n % len(boxes) == position]
+
 
+class RandomBox(_SelfSchedulingBox):
+    """A box that uses all workers but counts only its own tasks on them."""
 
-class RandomBox(_OwnScheduler):
-    """A box that uses all workers and knows of its own tasks only."""
 
+def _make_random_choice(rng: random.Random) -> Callable:
+    """Returns a replacement of `FreeSlots.choose` that picks at random."""
 
-def _choose_at_random(rng: random.Random) -> Callable:
     def choose(
         free: FreeSlots, needs: tuple, avoid_racks: set | None = None
     ) -> Worker | None:
@@ -105,30 +111,40 @@
     return choose
 
 
-def _by_arrival(waiting: Waiting) -> float:
-    return waiting.arrived_ms
+def _arrival_order(request: Waiting) -> float:
+    """Replaces `Waiting.order`: sorts requests by their time of arrival."""
+    return request.arrived_ms
 
 
 ALTERNATIVES: dict[str, tuple[type[BoxCore], Callable]] = {
     "random": (
         RandomBox,
         lambda: mock.patch.object(
-            FreeSlots, "choose", _choose_at_random(random.Random(SEED))
+            FreeSlots, "choose", _make_random_choice(random.Random(SEED))
         ),
     ),
     "partitioned": (PartitionedBox, contextlib.nullcontext),
     "single": (BoxCore, contextlib.nullcontext),
     "first_come": (
         BoxCore,
-        lambda: mock.patch.object(Waiting, "order", _by_arrival),
+        lambda: mock.patch.object(Waiting, "order", _arrival_order),
     ),
 }
 
 
-def run_one(name: str, mix: str, load: float, duration_ms: float) -> dict:
-    """Returns the figures of one alternative."""
-    make_core, patched = ALTERNATIVES[name]
-    with patched():
+def run_alternative(
+    name: str, mix: str, load: float, duration_ms: float
+) -> dict:
+    """Returns the figures of one alternative.
+
+    Args:
+        name: a key of `ALTERNATIVES`.
+        mix: name of the users' mix of jobs.
+        load: arriving work as a share of the workers' capacity.
+        duration_ms: measured time, after the warm-up.
+    """
+    make_core, make_patch = ALTERNATIVES[name]
+    with make_patch():
         workload = Workload(mix, SEED, ONE_HALL, make_core=make_core)
         workload.load = lambda now_ms: load
         workload.run(WARM_MS, duration_ms)
@@ -138,28 +154,28 @@
         "slowdown_mean": summary["slowdown_mean"],
         "first_p99": next(iter(classes))["slowdown_p99"],
         "wasted_per_task": summary["wasted_per_task"],
-        "refused": sum(one["refused"] for one in classes),
-        "completed": sum(one["completed"] for one in classes),
+        "refused": sum(stats["refused"] for stats in classes),
+        "completed": sum(stats["completed"] for stats in classes),
         "violations": summary["violations"],
     }
 
 
 def main(arguments: list[str]) -> int:
-    """Prints a row for each mix, load and alternative."""
+    """Prints a row for each combination of mix, load and alternative."""
     parser = argparse.ArgumentParser(prog="bench alternatives")
     parser.add_argument("--seconds", type=float, default=10.0)
     flags = parser.parse_args(arguments)
-    jobs = [(a, m, s) for m in MIXES for s in LOADS for a in ALTERNATIVES]
+    cases = [(a, m, s) for m in MIXES for s in LOADS for a in ALTERNATIVES]
     figures: dict[str, dict] = {}
     workers = max(1, (os.cpu_count() or 2) - 2)
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
-        running = [
-            pool.submit(run_one, a, m, LOADS[s], flags.seconds * 1000)
-            for a, m, s in jobs
+        futures = [
+            pool.submit(run_alternative, a, m, LOADS[s], flags.seconds * 1000)
+            for a, m, s in cases
         ]
-        for (name, mix, scenario), one in zip(jobs, running, strict=True):
-            result = one.result()
+        for (name, mix, scenario), future in zip(cases, futures, strict=True):
+            result = future.result()
             by_scenario = figures.setdefault(mix, {}).setdefault(scenario, {})
             by_scenario[name] = result
             print(mix, scenario, name, result, flush=True)
-    return finish("alternatives", figures)
+    return report("alternatives", figures)
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,8 @@
-"""Configurations: time to force, bytes a box, catching up, recovery."""
+"""Measures the cost of configuration changes.
+
+Covered are the time until a change is active on all boxes, the bytes sent to
+each box, the catch-up of a box that missed changes, and recovery from disk.
+"""
 
 import argparse
 import random
@@ -8,7 +12,7 @@
 import msgspec
 import numpy as np
 
-from bench.bounds import finish
+from bench.bounds import report
 from clayfield.box.core import CONTROL_TIMING
 from clayfield.box.follower import ConfigFollower
 from clayfield.config import (
@@ -29,127 +33,136 @@
 
 HALLS = {"h1": 3, "h2": 3, "h3": 3}
 CHANGES = 40
-MISSED = 500
-TEAMS = 62
-SERVICES = 120
-LETTER_HALLS = 22
-SNAPSHOT_EVERY = CONTROL_TIMING.compact_entries
+MISSED_CHANGES = 500
+MEMBER_COUNT = 62
+SERVICE_COUNT = 120
+HALL_COUNT = 22
+SNAPSHOT_INTERVAL = CONTROL_TIMING.compact_entries
 LOG_LENGTHS = (400, 1600, 6400)
 
 
-def letter_configuration() -> Configuration:
-    """Returns a configuration of the letter's size."""
+def make_large_configuration() -> Configuration:
+    """Returns the configuration of a large site."""
     return Configuration(
         replaces=0,
-        halls={f"h{n}": Hall() for n in range(LETTER_HALLS)},
+        halls={f"h{n}": Hall() for n in range(HALL_COUNT)},
         classes={f"c{n}": PriorityClass(price=n) for n in range(8)},
-        services={f"s{n}": Service() for n in range(SERVICES)},
+        services={f"s{n}": Service() for n in range(SERVICE_COUNT)},
         members={
             f"team-{n}": Member(tokens=[f"{n:064x}"], slots=100)
-            for n in range(TEAMS)
+            for n in range(MEMBER_COUNT)
         },
     )
 
 
-def ms_to_in_force() -> list[float]:
-    """Returns, for each change, the time until the last box has it."""
+def measure_activation_ms() -> list[float]:
+    """Returns, for each change, the time until all boxes use it, in ms."""
     site = Site(SiteShape(HALLS, workers=1), 11)
     site.settle(DEFAULT)
     rng = random.Random(3)
-    times = []
+    times_ms = []
     for number in range(CHANGES):
         box = rng.choice(list(site.boxes))
         base = site.boxes[box].core.cfg
-        wanted = msgspec.structs.replace(
+        changed = msgspec.structs.replace(
             base,
             replaces=base.version,
             limits=Limits(queue_ms=500 + number),
         )
         start_ms = site.events.now_ms()
-        site.apply(box, wanted)
+        site.apply(box, changed)
         while any(
-            b.core.cfg.version < wanted.version for b in site.boxes.values()
+            b.core.cfg.version < changed.version for b in site.boxes.values()
         ):
             site.run(5.0)
-        times.append(site.events.now_ms() - start_ms)
+        times_ms.append(site.events.now_ms() - start_ms)
         site.run(rng.random() * 200)
-    return times
+    return times_ms
 
 
-def _log_with(changes: int) -> tuple[ConfigLog, list[bytes]]:
+def _make_log(changes: int) -> tuple[ConfigLog, list[bytes]]:
+    """Returns a log after a number of changes, and its commands."""
     log = ConfigLog()
-    current = letter_configuration()
+    current = make_large_configuration()
     commands = []
     for number in range(changes):
-        wanted = msgspec.structs.replace(
+        changed = msgspec.structs.replace(
             current,
             replaces=number,
             members={
                 **current.members,
-                f"team-{number % TEAMS}": Member(slots=number + 1),
+                f"team-{number % MEMBER_COUNT}": Member(slots=number + 1),
             },
         )
-        command = log.command_for(wanted)
+        command = log.command_for(changed)
         commands.append(command)
         log.apply(command)
         current = log.current
     return log, commands
 
 
-def catch_up() -> tuple[float, int, float]:
-    """Returns ms and bytes for 500 missed changes, and bytes a change."""
-    log, _ = _log_with(MISSED + 1)
-    ahead = ConfigFollower(EventQueue().clock)
-    ahead.take_whole(log.current)
-    behind = ConfigFollower(EventQueue().clock)
+def measure_catch_up() -> tuple[float, int, float]:
+    """Measures how a box catches up on the changes that it missed.
+
+    Returns:
+        The time in ms and the bytes for all missed changes, and the mean
+        number of bytes of a change.
+    """
+    log, _ = _make_log(MISSED_CHANGES + 1)
+    current_follower = ConfigFollower(EventQueue().clock)
+    current_follower.take_whole(log.current)
+    stale_follower = ConfigFollower(EventQueue().clock)
     start_s = time.perf_counter()
-    push = ahead.on_pull(ConfigPull(1))
+    push = current_follower.on_pull(ConfigPull(1))
     size = len(encode([push]))
-    behind.on_push(push)
+    stale_follower.on_push(push)
     took_ms = (time.perf_counter() - start_s) * 1000
-    assert to_bytes(behind.current) == to_bytes(log.current)
+    assert to_bytes(stale_follower.current) == to_bytes(log.current)
     return took_ms, size, float(np.mean([len(d) for d in log.deltas]))
 
 
-def recovery_ms(changes: int) -> float:
-    """Returns the time to open a data folder after a number of changes."""
-    log, commands = _log_with(changes)
+def measure_recovery_ms(changes: int) -> float:
+    """Returns the time to restore a log of changes from disk, in ms."""
+    log, commands = _make_log(changes)
     with tempfile.TemporaryDirectory() as folder:
         store = Store(folder)
         store.write([Born("control@a/1#1"), HardState(1, "a/1")])
-        kept = changes // SNAPSHOT_EVERY * SNAPSHOT_EVERY
+        snapshot_index = changes // SNAPSHOT_INTERVAL * SNAPSHOT_INTERVAL
         entries = [LogEntry(1, 0, command) for command in commands]
         records = [Append(n, e) for n, e in enumerate(entries, 1)]
-        store.write(records[: kept + 1])
-        if kept:
-            snapshot = Snapshot(kept, 1, Members(("a/1",)), log.snapshot())
+        store.write(records[: snapshot_index + 1])
+        if snapshot_index:
+            snapshot = Snapshot(
+                snapshot_index, 1, Members(("a/1",)), log.snapshot()
+            )
             store.write([snapshot])
-        store.write(records[kept + 1 :] or records[-1:])
+        store.write(records[snapshot_index + 1 :] or records[-1:])
         store.close()
         start_s = time.perf_counter()
         state = Store(folder).state
-        machine = ConfigLog()
+        restored_log = ConfigLog()
         if state.log.snapshot:
-            machine.restore(state.log.snapshot.data)
+            restored_log.restore(state.log.snapshot.data)
         for index in range(state.log.first_index, state.log.last_index + 1):
-            machine.apply(state.log.entry_at(index).data)
+            restored_log.apply(state.log.entry_at(index).data)
         return (time.perf_counter() - start_s) * 1000
 
 
 def main(arguments: list[str]) -> int:
-    """Prints the figures."""
+    """Measures configuration changes and prints the figures."""
     argparse.ArgumentParser(prog="bench config").parse_args(arguments)
-    times = ms_to_in_force()
-    catch_up_ms, catch_up_bytes, delta_bytes = catch_up()
+    times_ms = measure_activation_ms()
+    catch_up_ms, catch_up_bytes, delta_bytes = measure_catch_up()
     figures = {
-        "ms_to_in_force_p50": round(float(np.percentile(times, 50)), 1),
-        "ms_to_in_force_p99": round(float(np.percentile(times, 99)), 1),
+        "ms_to_in_force_p50": round(float(np.percentile(times_ms, 50)), 1),
+        "ms_to_in_force_p99": round(float(np.percentile(times_ms, 99)), 1),
         "bytes_per_change_per_box": round(delta_bytes),
-        "whole_bytes": len(to_bytes(letter_configuration())),
+        "whole_bytes": len(to_bytes(make_large_configuration())),
         "catch_up_ms": round(catch_up_ms, 2),
         "catch_up_bytes": catch_up_bytes,
         "recovery_ms": {
-            str(length): round(recovery_ms(length), 1) for length in LOG_LENGTHS
+            str(length): round(measure_recovery_ms(length), 1)
+            for length in LOG_LENGTHS
         },
     }
-    return finish("config", figures)
+    return report("config", figures)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -5,7 +5,7 @@
 import concurrent.futures
 import os
 
-from bench.bounds import finish
+from bench.bounds import report
 from clayfield.testbed.chaos import Chaos
 from clayfield.testbed.drills import DRILLS
 from clayfield.testbed.ledger import PROMISES
@@ -75,4 +75,4 @@
         "violations": {name: totals["violations"][name] for name in PROMISES},
         "failed": len(failed),
     }
-    return finish("faults", figures)
+    return report("faults", figures)
--- a/bench/path.py
+++ b/bench/path.py
@@ -13,7 +13,7 @@
 import tempfile
 import time
 
-from bench.bounds import finish
+from bench.bounds import report
 from bench.floor import ECHO, measure_client_ms, measure_echo_ms
 from clayfield.testbed.processes import Cluster
 
@@ -68,7 +68,7 @@
         "tasks_per_job": flags.tasks_per_job,
         "boxes": flags.boxes,
     }
-    return finish("path", figures)
+    return report("path", figures)
 
 
 def _load(port: int, tasks: int, name: str, per_job: int) -> tuple[float, int]:
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from bench.bounds import finish
+from bench.bounds import report
 from bench.oracle import oracle_summary
 from bench.workload import Workload
 from clayfield.testbed import SiteShape
@@ -166,7 +166,7 @@
             _print_rows(mix, name, figures[mix][name])
     if flags.only:
         return 0
-    return finish("policy", figures)
+    return report("policy", figures)
 
 
 def _print_rows(mix: str, scenario: str, summary: dict) -> None:
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from bench.bounds import finish
+from bench.bounds import report
 from bench.workload import Workload
 from clayfield.testbed import SiteShape
 from clayfield.testbed.demo import HALLS, HTTP_OK, run_jobs
@@ -146,4 +146,4 @@
             }
             print(mix, scenario, figures[mix][scenario], flush=True)
     draw_chart(figures)
-    return finish("wire", figures)
+    return report("wire", figures)
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Puts the libraries and clayfield's own packages under target/deps.
+# Installs the pinned dependencies and copies clayfield's packages into
+# target/deps.
 set -eu
 if [ ! target/deps/.installed -nt deploy/requirements.txt ]; then
   rm -rf target/deps
