--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,8 @@
-"""Random schedules of faults and directed drills; every promise counted."""
+"""Injects faults into a simulated site and counts violated invariants.
+
+Faults come from random schedules, one per seed, and from drills: scripted
+faults that aim at one weakness each.
+"""
 
 import argparse
 import collections
@@ -15,13 +19,18 @@
 
 
 def run_schedule(seed: int) -> dict:
-    """Runs one schedule; returns what it did and what it broke."""
+    """Runs one random schedule of faults.
+
+    Returns:
+        The numbers of simulated steps, injected faults, checks and violations
+        of invariants, and the error if the site did not recover, else "".
+    """
     chaos = Chaos(seed, is_strict=False)
-    unrest = ""
+    error = ""
     try:
         chaos.run(STEPS)
     except AssertionError as exc:
-        unrest = f"seed {seed}: {exc}"
+        error = f"seed {seed}: {exc}"
     injected = collections.Counter(chaos.injected)
     injected.update(
         {f"message_{k}": v for k, v in chaos.site.network.injected.items()}
@@ -31,12 +40,12 @@
         "injected": injected,
         "checked": chaos.ledger.checked,
         "violations": chaos.ledger.violations,
-        "unrest": unrest,
+        "error": error,
     }
 
 
 def run_drill(name: str) -> str:
-    """Runs one drill; returns what it broke, "" for nothing."""
+    """Runs one drill; returns its error, or "" if it passed."""
     try:
         DRILLS[name](1)
     except AssertionError as exc:
@@ -45,7 +54,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs schedules and drills in several processes."""
+    """Runs schedules and drills in several processes and prints the figures."""
     parser = argparse.ArgumentParser(prog="bench faults")
     parser.add_argument("--schedules", type=int, default=120)
     parser.add_argument("--first-seed", type=int, default=1000)
@@ -54,18 +63,18 @@
     workers = max(1, (os.cpu_count() or 2) - 2)
     with concurrent.futures.ProcessPoolExecutor(workers) as pool:
         results = list(pool.map(run_schedule, seeds, chunksize=4))
-        failed = [one for one in pool.map(run_drill, DRILLS) if one]
+        errors = [error for error in pool.map(run_drill, DRILLS) if error]
     totals = {
-        name: sum((one[name] for one in results), collections.Counter())
+        name: sum((result[name] for result in results), collections.Counter())
         for name in ("injected", "checked", "violations")
     }
-    failed += [one["unrest"] for one in results if one["unrest"]]
-    for line in failed:
+    errors += [result["error"] for result in results if result["error"]]
+    for line in errors:
         print(f"FAILED {line}")
     figures = {
         "schedules": len(results),
         "drills": len(DRILLS),
-        "steps": sum(one["steps"] for one in results),
+        "steps": sum(result["steps"] for result in results),
         "faults_injected": {
             kind: count
             for kind, count in sorted(totals["injected"].items())
@@ -73,6 +82,6 @@
         },
         "checked": {name: totals["checked"][name] for name in PROMISES},
         "violations": {name: totals["violations"][name] for name in PROMISES},
-        "failed": len(failed),
+        "failed": len(errors),
     }
     return report("faults", figures)
--- a/bench/floor.py
+++ b/bench/floor.py
@@ -1,11 +1,14 @@
-"""The floor that the path is compared with."""
+"""Measures the CPU time of a bare HTTP server and a bare HTTP client.
+
+The path benchmark compares the cost of a task with their sum.
+"""
 
 import pathlib
 import subprocess
 import sys
 
 REQUESTS = 4000
-TICKS_PER_S = 100
+CLOCK_TICKS_PER_S = 100
 
 ECHO = """
 from twisted.internet import reactor
@@ -28,7 +31,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 REQUEST = (b"POST /v1/tasks HTTP/1.1\\r\\nhost: w\\r\\n"
            b"content-length: 12\\r\\n\\r\\n" + b'{"run_ms":0}')
-left = [int(sys.argv[2])]
+remaining = [int(sys.argv[2])]
 class Conn(protocol.Protocol):
     def connectionMade(self):
         self.send()
@@ -38,10 +41,10 @@
     def dataReceived(self, data):
         self.parser.feed_data(data)
     def on_message_complete(self):
-        left[0] -= 1
-        if left[0] == 0:
+        remaining[0] -= 1
+        if remaining[0] == 0:
             reactor.stop()
-        elif left[0] > 0:
+        elif remaining[0] > 0:
             self.send()
 factory = protocol.Factory.forProtocol(Conn)
 for _ in range(8):
@@ -55,25 +58,33 @@
 
 
 def _cpu_s(pid: int) -> float:
-    fields = pathlib.Path(f"/proc/{pid}/stat").read_text()
-    parts = fields.rpartition(")")[2].split()
-    return (int(parts[11]) + int(parts[12])) / TICKS_PER_S
+    """Returns the user and system CPU time of a process, in seconds."""
+    stat = pathlib.Path(f"/proc/{pid}/stat").read_text()
+    # The name of the process, in brackets, may contain spaces.
+    fields = stat.rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
-def _drive(port: int) -> float:
+def _run_client(port: int) -> float:
+    """Sends all requests to a port; returns the client's CPU time in s."""
     command = [sys.executable, "-c", CLIENT, str(port), str(REQUESTS)]
-    done = subprocess.run(command, capture_output=True, check=True)
-    return float(done.stdout)
+    completed = subprocess.run(command, capture_output=True, check=True)
+    return float(completed.stdout)
 
 
 def measure_echo_ms(pid: int, port: int) -> float:
-    """Returns the CPU that a bare twisted.web server takes a request."""
-    _drive(port)
-    before = _cpu_s(pid)
-    _drive(port)
-    return (_cpu_s(pid) - before) * 1000 / REQUESTS
+    """Returns the CPU time of an echo server per request, in ms.
+
+    Args:
+        pid: process that runs `ECHO`.
+        port: its port.
+    """
+    _run_client(port)
+    start_s = _cpu_s(pid)
+    _run_client(port)
+    return (_cpu_s(pid) - start_s) * 1000 / REQUESTS
 
 
 def measure_client_ms(port: int) -> float:
-    """Returns the CPU that a bare client takes a request."""
-    return _drive(port) * 1000 / REQUESTS
+    """Returns the CPU time of a bare client per request, in ms."""
+    return _run_client(port) * 1000 / REQUESTS
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -1,7 +1,8 @@
-"""An omniscient single queue: the best that the same workload allows.
+"""Computes the slowdown of an ideal scheduler on the same workload.
 
-It knows each task's true time, has no message delays and never preempts.
-Strict classes; within a class least remaining work, with true times.
+The ideal scheduler has one queue for all workers, knows the true time of each
+task, has no message delays and never preempts. A higher class always goes
+first; within a class, the job with the least remaining work.
 """
 
 import heapq
@@ -12,13 +13,22 @@
 
 
 class _OracleJob:
-    __slots__ = ("arrived_ms", "job", "left", "running", "todo")
+    """A job in the ideal scheduler.
 
-    def __init__(self, job: Job, arrived_ms: float):
-        self.job = job
+    Attributes:
+        drawn: the job as drawn from the mix.
+        arrived_ms: time of its arrival.
+        pending_ms: times of the tasks that have not started, ascending.
+        remaining: number of tasks that have not ended.
+    """
+
+    __slots__ = ("arrived_ms", "drawn", "pending_ms", "remaining", "running")
+
+    def __init__(self, drawn: Job, arrived_ms: float):
+        self.drawn = drawn
         self.arrived_ms = arrived_ms
-        self.todo = sorted(job.run_ms)
-        self.left = len(job.run_ms)
+        self.pending_ms = sorted(drawn.run_ms)
+        self.remaining = len(drawn.run_ms)
 
 
 def oracle_summary(
@@ -29,53 +39,64 @@
     warm_ms: float,
     duration_ms: float,
 ) -> dict:
-    """Returns mean and p99 slowdown by class, for a constant load.
+    """Returns the mean slowdown and the p99 slowdown by class.
+
+    Slowdown is the response time of a job over the time of its longest task.
+    Above a load of 1 the queue of the lowest class grows without bound; its
+    figures then depend on the duration and are not comparable.
 
-    Above a load of 1 the lowest class waits without bound; its figures then
-    say nothing, and only the others are to be compared.
+    Args:
+        mix: name of the users' mix of jobs.
+        seed: seed of the mix.
+        load: arriving work as a share of the capacity, constant.
+        slots: slots of all workers.
+        warm_ms: time before the measurement.
+        duration_ms: measured time.
     """
     kinds = MIXES[mix]
     ranks = {kind.priority: rank for rank, kind in enumerate(kinds)}
     source = Mix(kinds, seed)
     rate = slots * 1000.0 * load / source.mean_work_ms
     queues: list[list] = [[] for _ in kinds]
-    ends: list[float] = []
-    free = slots
+    running: list[float] = []
+    free_slots = slots
     slowdowns: dict[str, list[float]] = {k.priority: [] for k in kinds}
-    now_ms, number = 0.0, 0
+    now_ms, sequence = 0.0, 0  # The sequence breaks ties in the heaps.
     end_ms = warm_ms + duration_ms
-    next_ms = 0.0
-    while next_ms < end_ms or ends or any(queues):
-        if ends and (ends[0][0] <= next_ms or next_ms >= end_ms):
-            now_ms, _, one = heapq.heappop(ends)
-            free += 1
-            one.left -= 1
-            if not one.left and one.arrived_ms >= warm_ms:
-                took_ms = now_ms - one.arrived_ms
-                name = one.job.kind.priority
-                slowdowns[name].append(took_ms / max(one.job.run_ms))
-        elif next_ms < end_ms:
-            now_ms = next_ms
-            one = _OracleJob(source.draw(), now_ms)
-            rank = ranks[one.job.kind.priority]
-            number += 1
-            heapq.heappush(queues[rank], (sum(one.todo), number, one))
-            next_ms += source.gap_ms(rate)
-        while free and any(queues):
+    next_arrival_ms = 0.0
+    while next_arrival_ms < end_ms or running or any(queues):
+        if running and (
+            running[0][0] <= next_arrival_ms or next_arrival_ms >= end_ms
+        ):
+            now_ms, _, job = heapq.heappop(running)
+            free_slots += 1
+            job.remaining -= 1
+            if not job.remaining and job.arrived_ms >= warm_ms:
+                took_ms = now_ms - job.arrived_ms
+                name = job.drawn.kind.priority
+                slowdowns[name].append(took_ms / max(job.drawn.run_ms))
+        elif next_arrival_ms < end_ms:
+            now_ms = next_arrival_ms
+            job = _OracleJob(source.draw(), now_ms)
+            rank = ranks[job.drawn.kind.priority]
+            sequence += 1
+            heapq.heappush(queues[rank], (sum(job.pending_ms), sequence, job))
+            next_arrival_ms += source.gap_ms(rate)
+        while free_slots and any(queues):
             queue = next(q for q in queues if q)
-            _, _, one = heapq.heappop(queue)
-            run_ms = one.todo.pop()
-            free -= 1
-            number += 1
-            heapq.heappush(ends, (now_ms + run_ms, number, one))
-            if one.todo:
-                heapq.heappush(queue, (sum(one.todo), number, one))
-    every = [s for own in slowdowns.values() for s in own]
+            _, _, job = heapq.heappop(queue)
+            run_ms = job.pending_ms.pop()
+            free_slots -= 1
+            sequence += 1
+            heapq.heappush(running, (now_ms + run_ms, sequence, job))
+            if job.pending_ms:
+                heapq.heappush(queue, (sum(job.pending_ms), sequence, job))
+    all_slowdowns = [s for values in slowdowns.values() for s in values]
     return {
-        "mean": round(float(np.mean(every)), 4),
+        "mean": round(float(np.mean(all_slowdowns)), 4),
         "p99": {
-            name: round(float(np.percentile(own, 99)), 4)
-            for name, own in slowdowns.items()
-            if own
+            name: round(float(np.percentile(values, 99)), 4)
+            for name, values in slowdowns.items()
+            if values
         },
     }
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,9 @@
-"""The cost of the path: real processes, tasks that take no time.
+"""Measures the CPU time per task of the whole path, with real processes.
 
-All jobs go to one box; with several boxes their CPU is added up.
-`ratio_to_floor` compares it a task with a floor measured in the same run: a
-bare twisted.web echo a job plus a bare request to a worker a task.
+Tasks take no time on the workers and all jobs go to one box; the CPU time of
+all boxes is added up. `ratio_to_floor` compares it with a floor measured in
+the same run: a bare twisted.web echo per job and a bare request to a worker
+per task.
 """
 
 import argparse
@@ -22,7 +23,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Loads a box and prints what a task costs."""
+    """Submits jobs to a box and prints the cost per task."""
     parser = argparse.ArgumentParser(prog="bench path")
     parser.add_argument("--tasks", type=int, default=20_000)
     parser.add_argument("--boxes", type=int, default=1)
@@ -42,17 +43,17 @@
         boxes = list(cluster.boxes.values())
         box = boxes[-1]
         time.sleep(1.0)
-        _load(box.callers, 2000, "warm", flags.tasks_per_job)
-        memory_before = box.resident_mb()
-        cpu_s = sum(one.cpu_s() for one in boxes)
-        took_s, failed = _load(
+        _submit_jobs(box.callers, 2000, "warm", flags.tasks_per_job)
+        memory_before_mb = box.resident_mb()
+        cpu_s = sum(b.cpu_s() for b in boxes)
+        took_s, failed = _submit_jobs(
             box.callers, flags.tasks, "main", flags.tasks_per_job
         )
-        cpu_s = sum(one.cpu_s() for one in boxes) - cpu_s
-        memory_after = box.resident_mb()
+        cpu_s = sum(b.cpu_s() for b in boxes) - cpu_s
+        memory_after_mb = box.resident_mb()
         counts = json.loads(cluster.workers.counts())
     tasks = flags.tasks - failed * flags.tasks_per_job
-    floor_ms = _floor_ms(flags.tasks_per_job)
+    floor_ms = _measure_floor_ms(flags.tasks_per_job)
     cpu_ms = cpu_s * 1000 / tasks
     figures = {
         "cpu_ms_per_task": round(cpu_ms, 4),
@@ -62,8 +63,8 @@
         "failed_jobs": failed,
         "floor_ms": round(floor_ms, 4),
         "ratio_to_floor": round(cpu_ms / floor_ms, 3),
-        "memory_growth_mb": round(memory_after - memory_before, 2),
-        "memory_mb": round(memory_after, 1),
+        "memory_growth_mb": round(memory_after_mb - memory_before_mb, 2),
+        "memory_mb": round(memory_after_mb, 1),
         "tasks": tasks,
         "tasks_per_job": flags.tasks_per_job,
         "boxes": flags.boxes,
@@ -71,17 +72,22 @@
     return report("path", figures)
 
 
-def _load(port: int, tasks: int, name: str, per_job: int) -> tuple[float, int]:
-    """Submits tasks in jobs; returns seconds and jobs that failed."""
-    command = [sys.executable, "-m", "bench.loader", str(port), name]
-    command += [str(tasks), str(per_job), str(CONNECTIONS)]
-    done = subprocess.run(command, capture_output=True, check=True)
-    result = json.loads(done.stdout.splitlines()[-1])
+def _submit_jobs(
+    port: int, tasks: int, key_prefix: str, tasks_per_job: int
+) -> tuple[float, int]:
+    """Submits jobs; returns the time in seconds and the failed jobs."""
+    command = [sys.executable, "-m", "bench.loader", str(port), key_prefix]
+    command += [str(tasks), str(tasks_per_job), str(CONNECTIONS)]
+    completed = subprocess.run(command, capture_output=True, check=True)
+    result = json.loads(completed.stdout.splitlines()[-1])
     return result["took_s"], result["failed"]
 
 
-def _floor_ms(tasks_per_job: int) -> float:
-    """Returns a task's share of an echo a job, and a worker request."""
+def _measure_floor_ms(tasks_per_job: int) -> float:
+    """Returns the floor of the CPU time per task, in ms.
+
+    It is the task's share of one echo per job plus one request to a worker.
+    """
     with subprocess.Popen(
         [sys.executable, "-c", ECHO], stdout=subprocess.PIPE
     ) as echo:
