--- a/bench/kinds.py
+++ b/bench/kinds.py
@@ -1,12 +1,13 @@
-"""Days of single kinds of trouble, and of pairs, for the users' own bench.
+"""Runs generated days of faults in the users' own test bench.
 
-Writes each day as a file into a folder, plays it with the bench's program and
-prints a table of what came of it:
+A day is a file for that bench: traffic and a schedule of faults. Days with a
+single kind of fault and days with random pairs of kinds are written into a
+folder and run with the bench's program, and a table of their results is
+printed:
 
     python -m bench.kinds --program BENCH --site SITE.toml --folder SCRATCH
 
-The program, the site file and the folder are arguments, since none of them
-belongs to this project.
+The program and the site file come with the bench and not with this project.
 """
 
 import argparse
@@ -19,7 +20,8 @@
 
 import msgspec
 
-PLANNED = {
+# Kinds that the bench expects in a day's `plan` instead of its `faults`.
+PLANNED_KINDS = {
     "release",
     "scale_in",
     "roll_term",
@@ -33,10 +35,10 @@
     "hup",
     "replace_core",
 }
-LENGTH_S = 36.0
-TIMES_S = (4.0, 13.0, 22.0)
-# What the site's own list of troubles may not hold: kind and fields.
-FURTHER = (
+DAY_LENGTH_S = 36.0
+FAULT_TIMES_S = (4.0, 13.0, 22.0)
+# Used in addition to the faults that the site file lists as `troubles`.
+EXTRA_FAULTS = (
     {"kind": "srv_cut", "share": 0.2, "for_s": 5.0},
     {"kind": "srv_cut", "share": 0.2, "for_s": 5.0, "how": "fronts", "x": 0.3},
     {"kind": "srv_cut", "share": 0.2, "for_s": 5.0, "how": "some", "x": 0.3},
@@ -91,120 +93,142 @@
     {"kind": "scale_in", "share": 0.15, "how": "spot", "x": 2.0},
     {"kind": "scale_in", "share": 0.15, "how": "reclaim", "for_s": 5.0},
 )
-CLOSINGS = (
+FINAL_FAULTS = (
     {"kind": "power_off_all", "down_s": 1.0},
     {"kind": "power_off_all", "down_s": 1.0, "how": "timed"},
     {"kind": "wipe_after_ack", "down_s": 1.5},
     {"kind": "wipe_after_ack", "down_s": 1.5, "how": "oldest"},
     {"kind": "kill_all", "down_s": 1.0},
 )
-VERDICT = re.compile(
+RESULT_ROW = re.compile(
     r"^(\S+)\s+\d+/\d+\s+([\d.]+)\s+(-?[\d.]+)\s+([\d.]+)", re.MULTILINE
 )
-BROKEN = re.compile(r"BROKEN: (.*)$|^FAULT.*$|fault: .*$", re.MULTILINE)
-# Rows of the bench's tables: from second, six counts, worth; a trouble's span.
-WINDOW = re.compile(r"^(\d+)((?:\s+\d+){6})\s+([\d.]+)\s", re.MULTILINE)
-SPAN = re.compile(r"^\s+([\d.]+) s to\s+([\d.]+) s  (\w+)", re.MULTILINE)
-CLOSING_KIND = "closing"
-# A calm day's windows earn 1.0; service is back within a twentieth of that.
-BACK_WORTH = 0.95
-# Jobs sent so long before the final fault may be cut off by it.
-CLOSING_REACH_S = 4.0
+VIOLATION = re.compile(r"BROKEN: (.*)$|^FAULT.*$|fault: .*$", re.MULTILINE)
+# Row of a time window: start in seconds, six counts, worth.
+WINDOW_ROW = re.compile(r"^(\d+)((?:\s+\d+){6})\s+([\d.]+)\s", re.MULTILINE)
+# Row of a fault: start and end in seconds, kind.
+FAULT_ROW = re.compile(r"^\s+([\d.]+) s to\s+([\d.]+) s  (\w+)", re.MULTILINE)
+FINAL_FAULT_KIND = "closing"
+# A window without faults has a worth of 1.0.
+RECOVERED_WORTH = 0.95
+# Windows this close to the final fault contain jobs that it interrupts.
+FINAL_FAULT_MARGIN_S = 4.0
 
 
-class Outcome:
-    """What came of a day.
+class DayResult:
+    """Result of a day, read from the output of the bench.
 
     Attributes:
-        name: of the day.
-        score: as the bench counts it.
-        served: share of the worth that was served.
-        lowest: the least worth of a window of 2 s before the final fault.
-        back_s: from the beginning of a trouble until the worth is back, for
-            the slowest of the day's troubles.
-        broken: the broken rules, "" for none.
+        name: name of the day.
+        score: score that the bench printed, "-" if none.
+        served: share of the worth that was served, "-" if not printed.
+        lowest: lowest worth of a window of 2 s before the final fault.
+        recovery_s: longest time from the start of a fault until the worth is
+            normal again, in seconds.
+        violation: first violated rule that the bench printed, "" for none.
     """
 
-    __slots__ = ("back_s", "broken", "lowest", "name", "score", "served")
+    __slots__ = (
+        "lowest",
+        "name",
+        "recovery_s",
+        "score",
+        "served",
+        "violation",
+    )
 
     def __init__(self, name: str, printed: str):
-        """Reads an outcome from what the bench printed."""
-        verdict = VERDICT.search(printed)
-        broken = BROKEN.search(printed)
+        """Reads the result of a day.
+
+        Args:
+            name: name of the day.
+            printed: output of the bench.
+        """
+        row = RESULT_ROW.search(printed)
+        violation = VIOLATION.search(printed)
         self.name = name
-        self.score = verdict.group(2) if verdict else "-"
-        self.served = verdict.group(4) if verdict else "-"
-        self.broken = broken.group(0) if broken else ""
-        self.lowest, self.back_s = _recovery(printed)
+        self.score = row.group(2) if row else "-"
+        self.served = row.group(4) if row else "-"
+        self.violation = violation.group(0) if violation else ""
+        self.lowest, self.recovery_s = _measure_recovery(printed)
 
     @property
     def row(self) -> str:
-        """The outcome as a row of a table."""
+        """The result as a row of the table."""
         cells = (
             self.name,
             self.score,
             self.served,
             self.lowest,
-            self.back_s,
-            self.broken,
+            self.recovery_s,
+            self.violation,
         )
         return "| " + " | ".join(cells) + " |"
 
 
-def _recovery(printed: str) -> tuple[str, str]:
-    """Returns the lowest window and the slowest recovery, as texts."""
-    spans = [(float(a), float(b), kind) for a, b, kind in SPAN.findall(printed)]
-    closing_s = min(
-        (start for start, _, kind in spans if kind == CLOSING_KIND),
-        default=LENGTH_S,
+def _measure_recovery(printed: str) -> tuple[str, str]:
+    """Returns the lowest worth and the longest recovery in seconds, as text."""
+    faults = [
+        (float(a), float(b), kind) for a, b, kind in FAULT_ROW.findall(printed)
+    ]
+    final_s = min(
+        (start for start, _, kind in faults if kind == FINAL_FAULT_KIND),
+        default=DAY_LENGTH_S,
     )
     windows = [
         (float(start_s), float(worth))
-        for start_s, _, worth in WINDOW.findall(printed)
-        if float(start_s) < closing_s - CLOSING_REACH_S
+        for start_s, _, worth in WINDOW_ROW.findall(printed)
+        if float(start_s) < final_s - FINAL_FAULT_MARGIN_S
     ]
-    starts_s = sorted({s for s, _, kind in spans if kind != CLOSING_KIND})
-    slowest_s = 0.0
-    for start_s, next_s in zip(
-        starts_s, [*starts_s[1:], closing_s], strict=True
-    ):
-        low = [
+    starts_s = sorted({s for s, _, kind in faults if kind != FINAL_FAULT_KIND})
+    longest_s = 0.0
+    for start_s, next_s in zip(starts_s, [*starts_s[1:], final_s], strict=True):
+        recovery_times_s = [
             window_s + 2.0 - start_s
             for window_s, worth in windows
-            if start_s - 2.0 < window_s < next_s - 2.0 and worth < BACK_WORTH
+            if start_s - 2.0 < window_s < next_s - 2.0
+            and worth < RECOVERED_WORTH
         ]
-        slowest_s = max(slowest_s, max(low, default=0.0))
+        longest_s = max(longest_s, max(recovery_times_s, default=0.0))
     lowest = min((worth for _, worth in windows), default=0.0)
-    return f"{lowest:.2f}", f"{slowest_s:.0f}"
+    return f"{lowest:.2f}", f"{longest_s:.0f}"
 
 
 def make_days(site: dict, pairs: int, seed: int) -> dict[str, bytes]:
-    """Returns days by name: each kind alone three times, and random pairs."""
+    """Returns days by name: one per kind of fault, then random pairs.
+
+    Args:
+        site: contents of the site file.
+        pairs: number of days with two kinds of faults.
+        seed: seed of the times, the pairs and the final faults.
+    """
     rng = random.Random(seed)
-    kinds = [dict(one) for one in site["troubles"]]
-    kinds += [dict(one) for one in FURTHER]
+    kinds = [dict(fault) for fault in site["troubles"]]
+    kinds += [dict(fault) for fault in EXTRA_FAULTS]
     days: dict[str, bytes] = {}
     for number, kind in enumerate(kinds):
-        days[f"{number:03d}-{_label(kind)}"] = _day(site, [kind], rng)
-    couples = list(itertools.combinations(kinds, 2))
-    for number, couple in enumerate(rng.sample(couples, pairs)):
-        name = f"p{number:03d}-{_label(couple[0])}-{_label(couple[1])}"
-        days[name] = _day(site, list(couple), rng)
+        days[f"{number:03d}-{_label(kind)}"] = _make_day(site, [kind], rng)
+    all_pairs = list(itertools.combinations(kinds, 2))
+    for number, pair in enumerate(rng.sample(all_pairs, pairs)):
+        name = f"p{number:03d}-{_label(pair[0])}-{_label(pair[1])}"
+        days[name] = _make_day(site, list(pair), rng)
     return days
 
 
 def _label(kind: dict) -> str:
+    """Returns the part of a day's name for a kind of fault."""
     how = kind.get("how", "").replace(" ", "_")
     where = kind.get("on", "")
     return "_".join(part for part in (kind["kind"], where, how) if part)
 
 
-def _day(site: dict, kinds: list[dict], rng: random.Random) -> bytes:
+def _make_day(site: dict, kinds: list[dict], rng: random.Random) -> bytes:
+    """Returns the file of a day on which each kind occurs three times."""
     planned = []
     faults = []
     for kind in kinds:
-        target = planned if kind["kind"] in PLANNED else faults
-        for at_s in TIMES_S:
+        target = planned if kind["kind"] in PLANNED_KINDS else faults
+        for at_s in FAULT_TIMES_S:
             at = round(at_s + rng.uniform(-1.5, 1.5), 2)
             target.append({"at": at, **kind})
     return msgspec.toml.encode(
@@ -212,11 +236,11 @@
             "name": "own",
             "slot": "trouble",
             "seed": rng.randrange(1 << 30),
-            "length_s": LENGTH_S,
+            "length_s": DAY_LENGTH_S,
             "one": 1.0,
             "zero": 0.0,
             "goal": {"floor": 0.0},
-            "closing": dict(rng.choice(CLOSINGS)),
+            "closing": dict(rng.choice(FINAL_FAULTS)),
             "plan": planned,
             "faults": faults,
             "traffic": site["traffic"],
@@ -224,17 +248,26 @@
     )
 
 
-def play(program: str, site: str, path: pathlib.Path, why: str) -> Outcome:
-    """Plays a day and keeps what the bench prints beside it."""
+def run_day(program: str, site: str, path: pathlib.Path, why: str) -> DayResult:
+    """Runs a day and writes the output of the bench next to its file.
+
+    Args:
+        program: path of the bench's program.
+        site: path of the site file.
+        path: path of the day's file.
+        why: reason of the run, for the bench's records.
+    """
     command = [program, "run", site, str(path), "--why", why]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    printed = done.stdout + done.stderr
+    completed = subprocess.run(
+        command, capture_output=True, text=True, check=False
+    )
+    printed = completed.stdout + completed.stderr
     path.with_suffix(".txt").write_text(printed)
-    return Outcome(path.stem, printed)
+    return DayResult(path.stem, printed)
 
 
 def main() -> None:
-    """Writes the days, plays them and prints the table."""
+    """Writes the days, runs them and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--program", required=True)
     parser.add_argument("--site", required=True)
@@ -243,25 +276,25 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--only", default="")
-    arguments = parser.parse_args()
-    site = msgspec.toml.decode(pathlib.Path(arguments.site).read_bytes())
-    arguments.folder.mkdir(parents=True, exist_ok=True)
+    flags = parser.parse_args()
+    site = msgspec.toml.decode(pathlib.Path(flags.site).read_bytes())
+    flags.folder.mkdir(parents=True, exist_ok=True)
     paths = []
-    for name, day in make_days(site, arguments.pairs, arguments.seed).items():
-        if arguments.only in name:
-            path = arguments.folder / f"{name}.toml"
+    for name, day in make_days(site, flags.pairs, flags.seed).items():
+        if flags.only in name:
+            path = flags.folder / f"{name}.toml"
             path.write_bytes(day)
             paths.append(path)
 
-    def play_one(path: pathlib.Path) -> Outcome:
-        why = f"own day {path.stem}, seed {arguments.seed}"
-        return play(arguments.program, arguments.site, path, why)
+    def run_file(path: pathlib.Path) -> DayResult:
+        why = f"own day {path.stem}, seed {flags.seed}"
+        return run_day(flags.program, flags.site, path, why)
 
-    print("| day | score | served | lowest 2 s | back after s | broken |")
+    print("| day | score | served | lowest 2 s | recovery s | violation |")
     print("|---|---|---|---|---|---|")
-    with concurrent.futures.ThreadPoolExecutor(arguments.jobs) as pool:
-        for outcome in pool.map(play_one, paths):
-            print(outcome.row, flush=True)
+    with concurrent.futures.ThreadPoolExecutor(flags.jobs) as pool:
+        for result in pool.map(run_file, paths):
+            print(result.row, flush=True)
 
 
 if __name__ == "__main__":
