--- a/packages/daemon/src/clayfield/daemon/peers.py
+++ b/packages/daemon/src/clayfield/daemon/peers.py
@@ -1,11 +1,13 @@
-"""Streams of frames between boxes, over TCP.
+"""Message streams between boxes, over TCP with optional TLS.
 
-A box opens one stream to each peer it talks to and sends on it; it receives
-on the streams that peers open. What cannot be sent is dropped: every decision
-that needs an answer asks again. The receiving side acknowledges from time to
-time, so that the sender of a stream that is cut in silence opens another.
+A box opens one stream to each other box and sends its messages on it; it
+receives messages on the streams that the others open. A stream starts with a
+greeting and then carries length-prefixed frames of messages.
 
-docs/design/peers.md has the measurements that speak against grpc here.
+Delivery is at most once: a message that cannot be sent is dropped, and every
+protocol above repeats requests that get no reply. The receiver acknowledges
+at intervals with an empty frame, so that the sender detects a broken network
+path and reconnects.
 """
 
 from collections.abc import Callable
@@ -32,20 +34,20 @@
 )
 from clayfield.wire.messages import Message
 
-MAX_QUEUED = 20_000
-FRAME_MESSAGES = 2000
+MAX_QUEUED_MESSAGES = 20_000
+MAX_FRAME_MESSAGES = 2000
 CONNECT_TIMEOUT_S = 2.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
-ACK_S = 0.5
-SILENCE_S = 2.5
+MIN_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 1.0
+ACK_INTERVAL_S = 0.5
+ACK_TIMEOUT_S = 2.5
 ACK = b""
 
 OnMessages = Callable[[str, list[Message]], None]
 
 
 class _Sender(Int32StringReceiver):
-    """The sending end of a stream."""
+    """Protocol of the sending side of a stream."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
@@ -53,68 +55,72 @@
         self._link = link
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's name
-        """Greets the peer."""
+        """Sends the greeting."""
         self.transport.setTcpNoDelay(True)
         self.sendString(encode_greeting(self._link.greeting))
         self._link.on_open(self)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Takes an acknowledgement."""
+        """Handles an acknowledgement."""
         self._link.on_ack()
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Learns that the stream broke."""
+        """Reports the closed stream to the link."""
         self._link.on_closed(reason)
 
 
 class Link:
-    """The stream to one peer.
+    """The outgoing stream to one peer, reopened whenever it breaks.
 
     Attributes:
-        greeting: what it begins with.
+        greeting: first frame of the stream.
     """
 
     def __init__(
         self,
         reactor: interfaces.IReactorTCP,
         peer: str,
-        place: str,
+        address_text: str,
         greeting: Greeting,
-        files: PeerFiles | None,
+        tls_files: PeerFiles | None,
     ):
         self.greeting = greeting
         self._reactor = reactor
         self._peer = peer
-        host, port = address(place)
+        host, port = address(address_text)
         endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
-        if files:
-            endpoint = wrapClientTLS(files.for_client(peer), endpoint)
+        if tls_files:
+            endpoint = wrapClientTLS(tls_files.for_client(peer), endpoint)
         self._endpoint = endpoint
         self._queue: list[Message] = []
         self._sender: _Sender | None = None
         self._is_flush_due = False
         self._is_stopped = False
         self._acked_s = 0.0
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_delay_s = MIN_RETRY_DELAY_S
 
     def start(self) -> None:
-        """Begins to connect."""
+        """Starts to connect."""
         factory = protocol.Factory.forProtocol(lambda: _Sender(self))
-        connecting = self._endpoint.connect(factory)
-        connecting.addErrback(self._on_refused)
+        connected = self._endpoint.connect(factory)
+        connected.addErrback(self._on_connect_failed)
 
     def stop(self) -> None:
-        """Sends what is queued and ends the stream."""
+        """Sends the queued messages and closes the stream."""
         self._is_stopped = True
         if self._sender:
             self._flush()
             self._sender.transport.loseConnection()
 
     def send(self, message: Message) -> None:
-        """Queues a message for the frame of this turn of the loop."""
-        if self._sender is None or len(self._queue) >= MAX_QUEUED:
+        """Queues a message for the next frame.
+
+        Messages queued in one turn of the reactor share a frame. The message
+        is dropped if the stream is down or the queue is full.
+        """
+        if self._sender is None or len(self._queue) >= MAX_QUEUED_MESSAGES:
             return
         self._queue.append(message)
         if not self._is_flush_due:
@@ -124,23 +130,23 @@
     def _flush(self) -> None:
         self._is_flush_due = False
         while self._queue and self._sender:
-            batch = self._queue[:FRAME_MESSAGES]
-            del self._queue[:FRAME_MESSAGES]
+            batch = self._queue[:MAX_FRAME_MESSAGES]
+            del self._queue[:MAX_FRAME_MESSAGES]
             self._sender.sendString(encode(batch))
 
     def on_open(self, sender: _Sender) -> None:
-        """Learns that the stream is open."""
+        """Starts to use a new stream."""
         self._sender = sender
         self._acked_s = self._reactor.seconds()
-        self._pause_s = FIRST_PAUSE_S
+        self._retry_delay_s = MIN_RETRY_DELAY_S
         emit(Event.PEER_CONNECTED, peer=self._peer)
 
     def on_ack(self) -> None:
-        """Learns that the peer still reads."""
+        """Records the time of an acknowledgement."""
         self._acked_s = self._reactor.seconds()
 
     def on_closed(self, reason: failure.Failure) -> None:
-        """Learns that the stream broke, and opens another."""
+        """Drops the queued messages and schedules a new stream."""
         self._sender = None
         self._queue.clear()
         if not self._is_stopped:
@@ -149,30 +155,30 @@
                 peer=self._peer,
                 error=reason.getErrorMessage(),
             )
-            self._try_again()
+            self._schedule_reconnect()
 
-    def _on_refused(self, reason: failure.Failure) -> None:
+    def _on_connect_failed(self, reason: failure.Failure) -> None:
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
         if not self._is_stopped:
-            self._try_again()
+            self._schedule_reconnect()
 
-    def _try_again(self) -> None:
-        self._reactor.callLater(self._pause_s, self._start_unless_stopped)
-        self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
+    def _schedule_reconnect(self) -> None:
+        self._reactor.callLater(self._retry_delay_s, self._reconnect)
+        self._retry_delay_s = min(self._retry_delay_s * 2, MAX_RETRY_DELAY_S)
 
-    def _start_unless_stopped(self) -> None:
+    def _reconnect(self) -> None:
         if not self._is_stopped:
             self.start()
 
-    def check(self) -> None:
-        """Ends a stream whose peer has read nothing for too long."""
-        silence_s = self._reactor.seconds() - self._acked_s
-        if self._sender and silence_s > SILENCE_S:
+    def check_timeout(self) -> None:
+        """Closes the stream if the last acknowledgement is too long ago."""
+        since_ack_s = self._reactor.seconds() - self._acked_s
+        if self._sender and since_ack_s > ACK_TIMEOUT_S:
             self._sender.transport.abortConnection()
 
 
 class _Receiver(Int32StringReceiver):
-    """The receiving end of a stream."""
+    """Protocol of the receiving side of a stream."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
 
@@ -183,31 +189,36 @@
         self._acked_s = 0.0
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's name
-        """Prepares for frames."""
+        """Disables Nagle's algorithm, which would delay acknowledgements."""
         self.transport.setTcpNoDelay(True)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Takes a frame; one that is bad ends the stream."""
+        """Handles a frame; an invalid one closes the stream."""
         try:
             if self._node:
                 self._peers.on_messages(self._node, decode(string))
             else:
-                self._greet(string)
+                self._on_greeting(string)
         except ClayfieldError as exc:
             emit(Event.FRAME_REFUSED, peer=self._box, error=str(exc))
             self.transport.abortConnection()
             return
         now_s = self._peers.reactor.seconds()
-        if now_s - self._acked_s >= ACK_S:
+        if now_s - self._acked_s >= ACK_INTERVAL_S:
             self._acked_s = now_s
             self.sendString(ACK)
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Tells that the peer's stream ended."""
+        """Reports the closed stream of a peer."""
         if self._node:
             self._peers.on_closed(self._node)
 
-    def _greet(self, string: bytes) -> None:
+    def _on_greeting(self, string: bytes) -> None:
+        """Checks the greeting and identifies the peer.
+
+        Raises:
+            ClayfieldError: of kind BAD_FRAME, when the peer is not accepted.
+        """
         greeting = decode_greeting(string)
         self._box = greeting.box
         check_greeting(
@@ -215,31 +226,37 @@
         )
         if greeting.box not in self._peers.identity.boxes:
             raise ClayfieldError(
-                Kind.BAD_FRAME, f"{greeting.box!r} is no box of --boxes."
+                Kind.BAD_FRAME,
+                f"box {greeting.box!r} is not listed in --boxes.",
             )
-        certified = name_in(self.transport)
-        if certified not in (None, greeting.box):
+        certified_name = name_in(self.transport)
+        if certified_name not in (None, greeting.box):
             raise ClayfieldError(
                 Kind.BAD_FRAME,
-                f"the certificate is {certified!r}'s, not {greeting.box!r}'s.",
+                f"the certificate names {certified_name!r},"
+                f" not {greeting.box!r}.",
             )
         self._node = node_name(greeting.box, greeting.incarnation)
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802
-        """Refuses a frame that is too large."""
-        emit(Event.FRAME_REFUSED, peer=self._box, error=f"{length} bytes")
+        """Closes a stream whose frame is too large."""
+        emit(
+            Event.FRAME_REFUSED,
+            peer=self._box,
+            error=f"frame of {length} bytes is too large",
+        )
         self.transport.abortConnection()
 
 
 class Peers:
-    """All streams of this box.
+    """All message streams of this box.
 
     Attributes:
-        reactor: of twisted.
-        cluster: the name that all boxes share.
-        identity: this box.
-        on_messages: called with a node and its messages.
-        on_closed: called with a node whose stream ended.
+        reactor: twisted's reactor.
+        cluster: name of the cluster, the same on all its boxes.
+        identity: this box and the others.
+        on_messages: called with a node and the messages of a frame from it.
+        on_closed: called with a node whose stream to this box closed.
     """
 
     def __init__(
@@ -249,14 +266,14 @@
         identity: Identity,
         on_messages: OnMessages,
         on_closed: Callable[[str], None],
-        files: PeerFiles | None,
+        tls_files: PeerFiles | None,
     ):
         self.reactor = reactor
         self.cluster = cluster
         self.identity = identity
         self.on_messages = on_messages
         self.on_closed = on_closed
-        self._files = files
+        self._tls_files = tls_files
         self._port: interfaces.IListeningPort | None = None
         greeting = Greeting(
             cluster,
@@ -266,45 +283,46 @@
             halls=identity.halls,
         )
         self._links = {
-            name: Link(reactor, name, peer.address, greeting, files)
+            name: Link(reactor, name, peer.address, greeting, tls_files)
             for name, peer in identity.boxes.items()
             if name != identity.box
         }
-        self._checking = task.LoopingCall(self._check)
+        self._timeout_check = task.LoopingCall(self._check_timeouts)
 
     def start(self) -> None:
-        """Listens and connects.
+        """Opens the port for peers and connects to all of them.
 
         Raises:
-            twisted.internet.error.CannotListenError: the address is taken.
+            twisted.internet.error.CannotListenError: the port cannot be
+                opened.
         """
         host, port = address(self.identity.boxes[self.identity.box].address)
         factory = protocol.Factory.forProtocol(lambda: _Receiver(self))
-        if self._files:
+        if self._tls_files:
             self._port = self.reactor.listenSSL(
-                port, factory, self._files.for_server(), interface=host
+                port, factory, self._tls_files.for_server(), interface=host
             )
         else:
             self._port = self.reactor.listenTCP(port, factory, interface=host)
         for link in self._links.values():
             link.start()
-        self._checking.start(ACK_S, now=False)
+        self._timeout_check.start(ACK_INTERVAL_S, now=False)
 
     def stop(self) -> None:
-        """Ends all streams."""
-        if self._checking.running:
-            self._checking.stop()
+        """Closes the outgoing streams and the port for peers."""
+        if self._timeout_check.running:
+            self._timeout_check.stop()
         for link in self._links.values():
             link.stop()
         if self._port:
             self._port.stopListening()
 
     def send(self, box: str, message: Message) -> None:
-        """Sends a message, as far as the peer can be reached."""
+        """Sends a message to a box; drops it if the box is not connected."""
         link = self._links.get(box)
         if link:
             link.send(message)
 
-    def _check(self) -> None:
+    def _check_timeouts(self) -> None:
         for link in self._links.values():
-            link.check()
+            link.check_timeout()
--- a/packages/daemon/src/clayfield/daemon/process.py
+++ b/packages/daemon/src/clayfield/daemon/process.py
@@ -1,4 +1,8 @@
-"""Puts a box together: its runtime, its ports and its end."""
+"""Starts and stops the process of one box.
+
+Assembles the runtime, the HTTP ports for callers and operators, and the signal
+handlers.
+"""
 
 import gc
 import random
@@ -18,19 +22,24 @@
 from clayfield.daemon.store import Store
 from clayfield.daemon.tracing import Tracing
 
-GC_ALLOCATIONS = 20_000
+# Allocations between garbage collections of the youngest generation.
+GC_THRESHOLD = 20_000
 
 
 class Process:
     """The process of one box.
 
     Attributes:
-        failure: why it could not run, or "".
-        is_drained: whether its planned stop cut nothing off.
+        failure: reason why the process failed, "" if it did not.
+        is_drained: whether the planned stop let every submission end.
     """
 
     def __init__(self, cfg: DaemonSettings, incarnation: int):
-        """Opens the data folder.
+        """Opens the data folder and reads the certificates.
+
+        Args:
+            cfg: the settings.
+            incarnation: a number that rises with each start of this box.
 
         Raises:
             ClayfieldError: the folder or a certificate cannot be used.
@@ -51,14 +60,15 @@
         self._is_stopping = False
 
     def run(self) -> None:
-        """Runs until stopped, by SIGTERM as planned."""
-        # Claims live long and hold no cycles: scan them seldom.
+        """Runs until SIGTERM or SIGINT; SIGHUP reloads the certificates."""
+        # Claims are many, live long and form no reference cycles, so that
+        # frequent collections would cost time and free nothing.
         gc.freeze()
-        gc.set_threshold(GC_ALLOCATIONS)
+        gc.set_threshold(GC_THRESHOLD)
         reactor.callWhenRunning(self._start)
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: _from_signal(self.stop))
-        signal.signal(signal.SIGHUP, lambda *_: _from_signal(self.reload))
+            signal.signal(number, lambda *_: _call_from_signal(self.stop))
+        signal.signal(signal.SIGHUP, lambda *_: _call_from_signal(self.reload))
         reactor.run(installSignalHandlers=False)
 
     def _start(self) -> None:
@@ -101,17 +111,17 @@
             box=self._identity.box,
             hall=self._identity.hall,
             incarnation=self._identity.incarnation,
-            callers=_name_of(self._ports[0]),
+            callers=_format_port(self._ports[0]),
             peers=self._identity.boxes[self._identity.box].address,
         )
 
     def _listen_on(
         self,
-        place: tuple[str, int],
+        address: tuple[str, int],
         root: resource.Resource,
         limits: RequestLimits,
     ) -> None:
-        host, port = place
+        host, port = address
         site = LimitedSite(root, limits)
         if self._certificates.is_used:
             listening = reactor.listenSSL(
@@ -122,11 +132,11 @@
         self._ports.append(listening)
 
     def reload(self) -> None:
-        """Reads the certificates again."""
+        """Reads the certificates for callers and operators again."""
         self._certificates.reload()
 
     def stop(self) -> None:
-        """Begins a planned stop."""
+        """Starts a planned stop, unless one is in progress."""
         if self._is_stopping:
             return
         self._is_stopping = True
@@ -141,11 +151,12 @@
         reactor.stop()
 
 
-def _from_signal(act: Callable[[], None]) -> None:
-    reactor.callFromThread(act)
+def _call_from_signal(function: Callable[[], None]) -> None:
+    """Calls a function in the reactor's thread, outside the handler."""
+    reactor.callFromThread(function)
 
 
-def _name_of(port: interfaces.IListeningPort) -> str:
+def _format_port(port: interfaces.IListeningPort) -> str:
     host = port.getHost()
     return f"{host.host}:{host.port}"
 
--- a/packages/daemon/src/clayfield/daemon/runtime.py
+++ b/packages/daemon/src/clayfield/daemon/runtime.py
@@ -1,4 +1,9 @@
-"""Runs a box's decisions on sockets, a disk and the machine's clock."""
+"""Runs the state machine of a box on real sockets, disk and time.
+
+`BoxCore` makes all decisions of a box and does no input or output. The runtime
+passes it messages, worker replies and ticks, and carries out the actions that
+it returns.
+"""
 
 import random
 
@@ -36,19 +41,19 @@
 from clayfield.wire.messages import Message, Outcome
 
 TICK_S = 0.04
-TICKS_A_WATCH = 5
-WORKER_CONNECTIONS = 64
+TICKS_PER_CHECK = 5
+MAX_CONNECTIONS_PER_WORKER = 64
 MS_PER_S = 1000.0
 
 
 class Runtime:
-    """One box in one process.
+    """Connects the state machine of one box to its environment.
 
     Attributes:
-        core: its decisions.
-        operators: who waits for the control log.
-        metrics: its counts.
-        tracing: its spans.
+        core: the state machine.
+        operators: the operators' requests that are still unanswered.
+        metrics: the metrics of this box.
+        tracing: the spans of this box's submissions.
     """
 
     def __init__(
@@ -77,17 +82,17 @@
             identity,
             self._on_messages,
             self._on_peer_closed,
-            _peer_files(cfg),
+            _read_peer_files(cfg),
         )
-        shared_by = len(identity.boxes_in(identity.hall))
+        box_count = len(identity.boxes_in(identity.hall))
         self._workers = WorkerClient(
             reactor,
             clock,
             identity.node,
-            max(1, WORKER_CONNECTIONS // shared_by),
+            max(1, MAX_CONNECTIONS_PER_WORKER // box_count),
             self._on_task_end,
         )
-        self._poll = PlatformPoll(
+        self._list_poller = PlatformPoll(
             reactor,
             cfg.platform_list,
             cfg.platform_list_ms,
@@ -95,23 +100,23 @@
         )
         self._next_tick: interfaces.IDelayedCall | None = None
         self._ticks = 0
-        self._is_due = False
+        self._are_actions_scheduled = False
         self._was_ready = False
-        self._led: set[tuple[str, int]] = set()
-        self._has_offered = False
+        self._logged_terms: set[tuple[str, int]] = set()
+        self._has_tried_first_config = False
 
     def start(self) -> None:
-        """Listens, connects and begins to tick."""
+        """Opens the port for peers, connects to them and starts the tick."""
         self._peers.start()
         self._next_tick = self._reactor.callLater(TICK_S, self._tick)
         if self._cfg.platform_list:
-            self._poll.start()
+            self._list_poller.start()
 
     def stop(self) -> None:
-        """Ends the streams; `drain` comes before."""
+        """Closes all connections and files; call `drain` first."""
         if self._next_tick:
             self._next_tick.cancel()
-        self._poll.stop()
+        self._list_poller.stop()
         self._workers.close()
         self._peers.stop()
         self.tracing.close()
@@ -119,10 +124,14 @@
             self._store.close()
 
     async def drain(self) -> bool:
-        """Carries out a planned stop.
+        """Finishes the open submissions before a planned stop.
+
+        The box reports that it is not ready and goes on accepting for
+        `balancer_lag_ms`, so that load balancers notice. It then refuses new
+        work and waits for up to `drain_ms`.
 
         Returns:
-            Whether all that was in flight came to its end.
+            Whether all open submissions ended in time.
         """
         emit(Event.STOPPING, open_submissions=self.core.entry.open_count)
         self.core.announce_stop()
@@ -130,30 +139,30 @@
         await self._sleep(self._cfg.balancer_lag_ms / MS_PER_S)
         self.core.begin_stop()
         self.kick()
-        left_ms = float(self._cfg.drain_ms)
-        while not self.core.is_drained and left_ms > 0:
+        remaining_ms = float(self._cfg.drain_ms)
+        while not self.core.is_drained and remaining_ms > 0:
             await self._sleep(TICK_S)
-            left_ms -= TICK_S * MS_PER_S
+            remaining_ms -= TICK_S * MS_PER_S
         return self.core.is_drained
 
     def _sleep(self, seconds: float) -> defer.Deferred:
         return task.deferLater(self._reactor, seconds)
 
-    # Events in.
+    # Events passed to the state machine.
 
     def kick(self) -> None:
-        """Has the box's actions carried out in this turn of the loop."""
-        if not self._is_due:
-            self._is_due = True
-            self._reactor.callLater(0, self._carry_out)
+        """Schedules the pending actions to run once control returns."""
+        if not self._are_actions_scheduled:
+            self._are_actions_scheduled = True
+            self._reactor.callLater(0, self._run_actions)
 
     def _tick(self) -> None:
         self._next_tick = self._reactor.callLater(TICK_S, self._tick)
         self.core.tick()
         self.kick()
         self._ticks += 1
-        if self._ticks % TICKS_A_WATCH == 0:
-            self._watch()
+        if self._ticks % TICKS_PER_CHECK == 0:
+            self._check_status()
 
     def _on_messages(self, node: str, messages: list[Message]) -> None:
         for message in messages:
@@ -172,8 +181,10 @@
         self.kick()
 
     def _on_workers(self, workers: list[WorkerInfo]) -> None:
-        own = [one for one in workers if one.hall == self._identity.hall]
-        self._workers.set_workers(own)
+        local_workers = [
+            worker for worker in workers if worker.hall == self._identity.hall
+        ]
+        self._workers.set_workers(local_workers)
         self.core.on_workers(workers)
         self.kick()
 
@@ -183,10 +194,10 @@
         self.metrics.on_finished(sub, outcome, response_ms)
         self.tracing.on_finished(sub, outcome)
 
-    # Actions out.
+    # Actions of the state machine.
 
-    def _carry_out(self) -> None:
-        self._is_due = False
+    def _run_actions(self) -> None:
+        self._are_actions_scheduled = False
         for action in self.core.take_actions():
             match action:
                 case Send(box=box, message=message):
@@ -207,20 +218,20 @@
 
     def _persist(self, action: Persist) -> None:
         if not action.records:
-            self._after_sync(None, action)
+            self._on_synced(None, action)
             return
-        # Syncing blocks for milliseconds, so it alone leaves the loop.
-        writing = threads.deferToThread(self._store.write, action.records)
-        writing.addCallbacks(self._after_sync, self._on_store_failed, (action,))
+        # A sync blocks for milliseconds, so it runs in a thread.
+        write = threads.deferToThread(self._store.write, action.records)
+        write.addCallbacks(self._on_synced, self._on_store_failed, (action,))
 
-    def _after_sync(self, _: None, action: Persist) -> None:
+    def _on_synced(self, _: None, action: Persist) -> None:
         for message in action.messages:
             self._peers.send(box_of(message.to), message)
         self.core.on_persisted(action.last_index)
         self.kick()
 
     def _on_store_failed(self, failure: object) -> None:
-        """Leaves the records unconfirmed: this box votes no more."""
+        """Leaves the records unconfirmed, so that this box stops voting."""
         emit(
             Event.STORE_FAILED,
             path=self._cfg.data_folder,
@@ -228,27 +239,28 @@
         )
         self.core.on_store_failed()
 
-    # Watching.
+    # Periodic checks.
 
-    def _watch(self) -> None:
+    def _check_status(self) -> None:
+        """Logs readiness and leadership changes; applies the first file."""
         if self.core.is_ready != self._was_ready:
             self._was_ready = self.core.is_ready
             emit(Event.READY if self._was_ready else Event.NOT_READY)
         for group in self.core.groups:
             if group.is_leader:
-                led = (group.base, group.consensus.term)
-                if led not in self._led:
-                    self._led.add(led)
-                    emit(Event.LEADING, group=led[0], term=led[1])
-        if self._cfg.first_config and not self._has_offered:
-            self._offer_first_config()
-
-    def _offer_first_config(self) -> None:
-        """Applies the first file where no version is in force yet."""
+                leadership = (group.base, group.consensus.term)
+                if leadership not in self._logged_terms:
+                    self._logged_terms.add(leadership)
+                    emit(Event.LEADING, group=leadership[0], term=leadership[1])
+        if self._cfg.first_config and not self._has_tried_first_config:
+            self._apply_first_config()
+
+    def _apply_first_config(self) -> None:
+        """Applies the file of --first-config if no version is in force."""
         control = self.core.control
         if control is None or not control.leads:
             return
-        self._has_offered = True
+        self._has_tried_first_config = True
         if control.log.version:
             return
         try:
@@ -258,7 +270,7 @@
             emit(Event.CONFIG_REJECTED, error=str(exc))
 
 
-def _peer_files(cfg: DaemonSettings) -> PeerFiles | None:
+def _read_peer_files(cfg: DaemonSettings) -> PeerFiles | None:
     if not cfg.peer_tls_key:
         return None
     return PeerFiles(
--- a/packages/daemon/src/clayfield/daemon/workers.py
+++ b/packages/daemon/src/clayfield/daemon/workers.py
@@ -1,11 +1,12 @@
-"""Task starts at workers, over persistent HTTP/1.1 connections.
+"""HTTP/1.1 client that starts tasks on workers.
 
-Built on a twisted transport and the httptools parser: docs/design/path.md has
-the measurement that speaks against twisted.web's client here.
+A start is a POST request whose response carries the task's result. Connections
+are kept alive and pooled per worker; each carries one request at a time. If a
+connection cannot be opened, nothing was sent and the task did not run. If it
+breaks after the request was written, the task may have run.
 
-A connection carries one task at a time. If it cannot be opened, no byte of
-the start has left and the task did not run. If it breaks once the start was
-written, the task may have run.
+Responses are parsed by httptools, which costs less CPU per request than
+twisted.web's client.
 """
 
 import collections
@@ -24,7 +25,7 @@
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
-IDLE_MS = 20_000.0
+MAX_IDLE_MS = 20_000.0
 MS_PER_S = 1000.0
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
@@ -34,14 +35,23 @@
 OnEnd = Callable[[int, TaskEnd, bytes, float], None]
 
 
-class _Start:
-    """A start in flight."""
+class _StartRequest:
+    """A request that starts a task, sent or waiting for a connection.
+
+    Attributes:
+        grant: number of the slot, which identifies the start.
+        data: the encoded HTTP request.
+        on_end: called with the outcome.
+        requested_ms: time of the request, in ms.
+        timeout_s: time limit once the request is sent.
+        timer: the running time limit, None before the request is sent.
+    """
 
     __slots__ = (
         "grant",
         "on_end",
-        "request",
-        "since_ms",
+        "data",
+        "requested_ms",
         "timeout_s",
         "timer",
     )
@@ -49,16 +59,16 @@
     def __init__(
         self,
         grant: int,
-        request: bytes,
+        data: bytes,
         on_end: OnEnd,
-        since_ms: float,
+        requested_ms: float,
         timeout_s: float,
     ):
         self.timeout_s = timeout_s
         self.grant = grant
-        self.request = request
+        self.data = data
         self.on_end = on_end
-        self.since_ms = since_ms
+        self.requested_ms = requested_ms
         self.timer: interfaces.IDelayedCall | None = None
 
 
@@ -67,31 +77,31 @@
 
     def __init__(self, pool: "_Pool"):
         self._pool = pool
-        self._start: _Start | None = None
+        self._request: _StartRequest | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._body = bytearray()
         self._headers: dict[bytes, bytes] = {}
         self.idle_since_ms = 0.0
         self.is_open = True
 
-    def send(self, start: _Start) -> None:
-        """Writes a start."""
-        self._start = start
+    def send(self, request: _StartRequest) -> None:
+        """Writes a request to the connection."""
+        self._request = request
         self._parser = httptools.HttpResponseParser(self)
         self._body.clear()
         self._headers.clear()
-        self.transport.write(start.request)
+        self.transport.write(request.data)
 
-    def give_up(self) -> None:
-        """Ends the start in flight: whether it ran is not known."""
+    def on_timeout(self) -> None:
+        """Closes the connection; the task may have run."""
         self.transport.abortConnection()
-        self._end(TaskEnd.LOST, b"timed out")
+        self._finish(TaskEnd.LOST, b"timed out")
 
-    # Calls of twisted.
+    # Callbacks of twisted.
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Takes bytes."""
-        if self._start is None:
+        """Parses received bytes; closes the connection if none were due."""
+        if self._request is None:
             self.transport.abortConnection()
             return
         try:
@@ -103,62 +113,64 @@
                 error=str(exc),
             )
             self.transport.abortConnection()
-            self._end(TaskEnd.LOST, b"broken answer")
+            self._finish(TaskEnd.LOST, b"malformed HTTP response")
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
-        """Learns that the connection is gone."""
+        """Ends the pending request, whose task may have run."""
         self.is_open = False
         self._pool.on_closed(self)
-        self._end(TaskEnd.LOST, b"connection lost")
+        self._finish(TaskEnd.LOST, b"connection lost")
 
-    # Calls of the parser.
+    # Callbacks of httptools.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Stores a response header."""
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Appends a part of the body, up to `MAX_ANSWER_BYTES`."""
         self._body += body
         if len(self._body) > MAX_ANSWER_BYTES:
             self.transport.abortConnection()
-            self._end(TaskEnd.FAILED, b"answer too large")
+            self._finish(TaskEnd.FAILED, b"response body too large")
 
     def on_message_complete(self) -> None:
-        """Takes the end of the answer."""
-        if self._start is None:
+        """Ends the request; returns the connection to the pool if it can."""
+        if self._request is None:
             return
         status = self._parser.get_status_code()
-        is_kept = self._parser.should_keep_alive()
+        is_reusable = self._parser.should_keep_alive()
         body = bytes(self._body)
         end = self._classify(status, body)
-        if is_kept and self.is_open:
+        if is_reusable and self.is_open:
             self._pool.on_idle(self)
         else:
             self.transport.loseConnection()
-        self._end(end, body)
+        self._finish(end, body)
 
     def _classify(self, status: int, body: bytes) -> TaskEnd:
+        """Returns the task's outcome that a response stands for."""
         if status == HTTP_OK:
-            return TaskEnd.ANSWERED if _is_json(body) else TaskEnd.FAILED
+            return TaskEnd.ANSWERED if _is_valid_json(body) else TaskEnd.FAILED
         did_not_start = self._headers.get(STARTED_HEADER) == b"no"
         if status == HTTP_UNAVAILABLE and did_not_start:
             is_leaving = self._headers.get(LEAVING_HEADER) == b"true"
             return TaskEnd.LEAVING if is_leaving else TaskEnd.REFUSED
         return TaskEnd.FAILED
 
-    def _end(self, end: TaskEnd, body: bytes) -> None:
-        start = self._start
-        if start is None:
+    def _finish(self, end: TaskEnd, body: bytes) -> None:
+        """Reports the outcome of the pending request, if there is one."""
+        request = self._request
+        if request is None:
             return
-        self._start = None
-        if start.timer and start.timer.active():
-            start.timer.cancel()
-        took_ms = self._pool.clock.now_ms() - start.since_ms
-        start.on_end(start.grant, end, body, took_ms)
+        self._request = None
+        if request.timer and request.timer.active():
+            request.timer.cancel()
+        took_ms = self._pool.clock.now_ms() - request.requested_ms
+        request.on_end(request.grant, end, body, took_ms)
 
 
-def _is_json(body: bytes) -> bool:
+def _is_valid_json(body: bytes) -> bool:
     try:
         msgspec.json.decode(body)
     except msgspec.DecodeError:
@@ -167,86 +179,93 @@
 
 
 class _Pool(protocol.Factory):
-    """The connections to one worker, within this box's share of them."""
+    """The pool of connections to one worker.
+
+    Requests beyond the connection limit wait in order of arrival.
+    """
 
     def __init__(
         self,
         reactor: interfaces.IReactorTCP,
         clock: Clock,
         info: WorkerInfo,
-        most: int,
+        max_connections: int,
     ):
         self.name = info.name
         self.clock = clock
-        self.most = most
+        self.max_connections = max_connections
         host, port = address(info.address)
-        self.place = info.address
+        self.address_text = info.address
         self._endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
         self._reactor = reactor
         self._idle: list[_Connection] = []
-        self._waiting: collections.deque[_Start] = collections.deque()
-        self._count = 0
+        self._queued: collections.deque[_StartRequest] = collections.deque()
+        self._connection_count = 0
 
     def buildProtocol(self, addr: object) -> _Connection:  # noqa: N802
-        """Makes a connection's protocol."""
+        """Returns the protocol of a new connection."""
         return _Connection(self)
 
-    def start(self, start: _Start) -> None:
-        """Sends a start on an idle connection or a new one."""
+    def start(self, request: _StartRequest) -> None:
+        """Sends a request on an idle or new connection, or queues it."""
         now_ms = self.clock.now_ms()
         while self._idle:
             conn = self._idle.pop()
-            if now_ms - conn.idle_since_ms < IDLE_MS:
-                self._send(conn, start)
+            if now_ms - conn.idle_since_ms < MAX_IDLE_MS:
+                self._send(conn, request)
                 return
             conn.transport.loseConnection()
-        if self._count >= self.most:
-            self._waiting.append(start)
+        if self._connection_count >= self.max_connections:
+            self._queued.append(request)
             return
-        self._count += 1
-        connecting = self._endpoint.connect(self)
-        connecting.addCallbacks(
-            self._on_connected, self._on_refused, (start,), {}, (start,), {}
+        self._connection_count += 1
+        connected = self._endpoint.connect(self)
+        connected.addCallbacks(
+            self._on_connected, self._on_refused, (request,), {}, (request,), {}
         )
 
-    def _on_connected(self, conn: _Connection, start: _Start) -> None:
+    def _on_connected(self, conn: _Connection, request: _StartRequest) -> None:
         conn.transport.setTcpNoDelay(True)
-        self._send(conn, start)
+        self._send(conn, request)
 
-    def _on_refused(self, reason: failure.Failure, start: _Start) -> None:
-        self._count -= 1
+    def _on_refused(
+        self, reason: failure.Failure, request: _StartRequest
+    ) -> None:
+        self._connection_count -= 1
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
-        start.on_end(start.grant, TaskEnd.UNREACHED, b"", 0.0)
-        if self._waiting:
-            self.start(self._waiting.popleft())
-
-    def _send(self, conn: _Connection, start: _Start) -> None:
-        conn.send(start)
-        start.timer = self._reactor.callLater(start.timeout_s, conn.give_up)
+        request.on_end(request.grant, TaskEnd.UNREACHED, b"", 0.0)
+        if self._queued:
+            self.start(self._queued.popleft())
+
+    def _send(self, conn: _Connection, request: _StartRequest) -> None:
+        conn.send(request)
+        request.timer = self._reactor.callLater(
+            request.timeout_s, conn.on_timeout
+        )
 
     def on_idle(self, conn: _Connection) -> None:
-        """Takes back a connection that is free again."""
-        if self._waiting:
-            self._reactor.callLater(0, self._serve_waiting, conn)
+        """Uses an idle connection for a queued request, or keeps it."""
+        if self._queued:
+            self._reactor.callLater(0, self._send_queued, conn)
             return
         conn.idle_since_ms = self.clock.now_ms()
         self._idle.append(conn)
 
-    def _serve_waiting(self, conn: _Connection) -> None:
-        if self._waiting and conn.is_open:
-            self._send(conn, self._waiting.popleft())
+    def _send_queued(self, conn: _Connection) -> None:
+        if self._queued and conn.is_open:
+            self._send(conn, self._queued.popleft())
         elif conn.is_open:
             self.on_idle(conn)
 
     def on_closed(self, conn: _Connection) -> None:
-        """Forgets a connection that is gone."""
-        self._count -= 1
+        """Removes a closed connection; opens one for a queued request."""
+        self._connection_count -= 1
         if conn in self._idle:
             self._idle.remove(conn)
-        if self._waiting:
-            self.start(self._waiting.popleft())
+        if self._queued:
+            self.start(self._queued.popleft())
 
     def close(self) -> None:
         """Closes the idle connections."""
@@ -255,7 +274,7 @@
 
 
 class WorkerClient:
-    """Starts tasks at workers."""
+    """Starts tasks on the workers of the box's hall."""
 
     def __init__(
         self,
@@ -265,49 +284,53 @@
         connections: int,
         on_end: OnEnd,
     ):
-        """Starts without workers.
+        """Creates a client without workers; see `set_workers`.
 
         Args:
-            reactor: of twisted.
-            clock: the time.
-            node: this process; with it a task's name is unique.
-            connections: most connections of this box to one worker.
-            on_end: called with grant, end, answer and time in ms.
+            reactor: twisted's reactor.
+            clock: the monotonic clock.
+            node: name of this process, which makes task names unique.
+            connections: largest number of connections to one worker.
+            on_end: called once for each start, with the grant, the outcome,
+                the response body or a reason, and the duration in ms.
         """
         self._reactor = reactor
         self._clock = clock
         self._node = node
-        self._connections = connections
+        self._max_connections = connections
         self._on_end = on_end
         self._pools: dict[str, _Pool] = {}
 
     def set_workers(self, workers: list[WorkerInfo]) -> None:
-        """Takes the platform list."""
+        """Replaces the set of workers.
+
+        Idle connections to addresses that are no longer listed are closed.
+        """
         listed = {info.name: info for info in workers}
         for name in list(self._pools):
             info = listed.get(name)
-            if info is None or info.address != self._pools[name].place:
+            if info is None or info.address != self._pools[name].address_text:
                 self._pools.pop(name).close()
         for name, info in listed.items():
             if name not in self._pools:
                 self._pools[name] = _Pool(
-                    self._reactor, self._clock, info, self._connections
+                    self._reactor, self._clock, info, self._max_connections
                 )
 
     def start(self, action: StartTask, traceparent: str) -> None:
-        """Starts a task; `on_end` hears of its end exactly once."""
+        """Starts a task and calls `on_end` exactly once with its outcome."""
         pool = self._pools.get(action.worker)
         if pool is None:
             self._on_end(action.grant, TaskEnd.UNREACHED, b"", 0.0)
             return
-        start = _Start(
+        request = _StartRequest(
             action.grant,
-            _render(action, self._node, traceparent),
+            _encode_request(action, self._node, traceparent),
             self._on_end,
             self._clock.now_ms(),
             action.timeout_ms / MS_PER_S,
         )
-        pool.start(start)
+        pool.start(request)
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -315,8 +338,9 @@
             pool.close()
 
 
-def _render(action: StartTask, node: str, traceparent: str) -> bytes:
-    trace = f"traceparent: {traceparent}\r\n" if traceparent else ""
+def _encode_request(action: StartTask, node: str, traceparent: str) -> bytes:
+    """Returns the HTTP request that starts a task."""
+    trace_header = f"traceparent: {traceparent}\r\n" if traceparent else ""
     head = (
         "POST /v1/tasks HTTP/1.1\r\n"
         "host: worker\r\n"
@@ -326,6 +350,6 @@
         f"clayfield-attempt: {action.attempt}\r\n"
         f"clayfield-class: {action.priority}\r\n"
         f"clayfield-lease-ms: {int(action.timeout_ms)}\r\n"
-        f"{trace}\r\n"
+        f"{trace_header}\r\n"
     )
     return head.encode() + action.payload
