--- a/packages/daemon/src/clayfield/daemon/callers.py
+++ b/packages/daemon/src/clayfield/daemon/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: submissions over HTTP."""
+"""HTTP interface for callers: `/v1/submissions`."""
 
 from collections.abc import Callable
 from typing import Annotated
@@ -23,15 +23,27 @@
 from clayfield.state import owned_key
 from clayfield.wire.messages import Outcome
 
-MAX_KEY = 200
+MAX_KEY_LENGTH = 200
 MAX_DEADLINE_MS = 86_400_000
 TRUE = "true"
-FIRST_HEADER = "clayfield-first-send"
+FIRST_SEND_HEADER = "clayfield-first-send"
 RETRY_AFTER_MS = 500
 
 
 class SubmissionBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a submission; docs/api.md explains each field."""
+    """The body of a submission.
+
+    Attributes:
+        member: the member that submits.
+        tasks: payload of each task, passed to the worker as it is.
+        job: name of a configured job whose values are the defaults of the
+            fields below, or "".
+        service: the service whose workers run the tasks.
+        priority: name of the priority class.
+        repeatable: whether a task may run more than once.
+        deadline_ms: time limit for the response, in ms; None if the
+            caller sets none.
+    """
 
     member: str
     tasks: Annotated[list[msgspec.Raw], msgspec.Meta(min_length=1)]
@@ -45,7 +57,7 @@
 
 
 class SubmissionState(msgspec.Struct, frozen=True):
-    """The state of a submission, as `GET` tells it."""
+    """Response body for the state of a submission without an answer."""
 
     key: str
     state: str
@@ -55,29 +67,33 @@
 
 
 class Waiter:
-    """A caller that waits for the answer of a submission."""
+    """A request whose response is sent when its submission ends.
+
+    Attributes:
+        is_disconnected: whether the caller has disconnected.
+    """
 
-    __slots__ = ("_request", "is_gone")
+    __slots__ = ("_request", "is_disconnected")
 
     def __init__(self, request: http.Request):
         self._request = request
-        self.is_gone = False
+        self.is_disconnected = False
 
-    def on_gone(self, reason: object) -> None:
-        """Learns that the caller hung up."""
-        self.is_gone = True
+    def on_disconnected(self, reason: object) -> None:
+        """Records that the caller disconnected."""
+        self.is_disconnected = True
 
-    def answer(self, outcome: Outcome) -> None:
-        """Writes the answer, unless the caller is gone."""
-        if self.is_gone:
+    def send_answer(self, outcome: Outcome) -> None:
+        """Sends the response, unless the caller has disconnected."""
+        if self.is_disconnected:
             return
         request = self._request
-        is_whole = outcome.status == HTTP_OK
+        is_success = outcome.status == HTTP_OK
         request.setResponseCode(outcome.status)
         request.setHeader(
-            b"content-type", JSON_TYPE if is_whole else PROBLEM_TYPE
+            b"content-type", JSON_TYPE if is_success else PROBLEM_TYPE
         )
-        if not is_whole:
+        if not is_success:
             retry_ms = read_problem(outcome.body).retry_after_ms
             if retry_ms is not None:
                 after_s = str(retry_after_s(retry_ms))
@@ -88,18 +104,17 @@
 
 
 class Callers:
-    """What the resources for callers share."""
+    """State shared by the HTTP resources for callers.
+
+    Attributes:
+        core: the state machine of the box.
+        kick: schedules the pending actions of `core`.
+        tracing: the spans of this box's submissions.
+    """
 
     def __init__(
         self, core: BoxCore, tracing: Tracing, kick: Callable[[], None]
     ):
-        """Puts them together.
-
-        Args:
-            core: the box's decisions.
-            tracing: the box's spans.
-            kick: has the decisions carried out.
-        """
         self.core = core
         self.kick = kick
         self.tracing = tracing
@@ -112,7 +127,10 @@
         return self.core.cfg
 
     def check_ready(self, is_first: bool) -> None:
-        """Checks that there is a configuration to judge a request by.
+        """Checks that the box has a configuration.
+
+        Args:
+            is_first: whether the caller never sent the submission before.
 
         Raises:
             ClayfieldError: of kind NOT_READY.
@@ -121,8 +139,8 @@
             ran = Ran.NO if is_first else Ran.MAYBE
             raise ClayfieldError(Kind.NOT_READY, "", ran, RETRY_AFTER_MS)
 
-    def member_of(self, request: http.Request) -> str:
-        """Returns the member that a request's token belongs to.
+    def authenticate(self, request: http.Request) -> str:
+        """Returns the member that the bearer token of a request belongs to.
 
         Raises:
             ClayfieldError: of kind UNAUTHENTICATED.
@@ -141,45 +159,50 @@
 
 
 def make_root(callers: Callers) -> resource.Resource:
-    """Returns the resources under `/v1/submissions`."""
-    return _Submissions(callers)
+    """Returns the resource to serve at `/v1/submissions`."""
+    return _SubmissionsResource(callers)
 
 
-class _Submissions(resource.Resource):
+class _SubmissionsResource(resource.Resource):
     def __init__(self, callers: Callers):
         super().__init__()
         self._callers = callers
-        self._post = _Post(callers)
+        self._submit_resource = _SubmitResource(callers)
 
     def getChild(  # noqa: N802
         self, path: bytes, request: http.Request
     ) -> resource.Resource:
-        rest = [path, *request.postpath]
+        segments = [path, *request.postpath]
         request.postpath = []
-        key = b"/".join(rest).decode("utf-8", "replace")
-        return _State(self._callers, key) if key else self._post
+        key = b"/".join(segments).decode("utf-8", "replace")
+        return (
+            _StateResource(self._callers, key) if key else self._submit_resource
+        )
 
     def render(self, request: http.Request) -> bytes | int:
-        return self._post.render(request)
+        return self._submit_resource.render(request)
 
 
-class _Post(Endpoint):
+class _SubmitResource(Endpoint):
     def __init__(self, callers: Callers):
         super().__init__()
         self._callers = callers
 
     def render_POST(self, request: http.Request) -> int:  # noqa: N802
-        """Takes a submission; answers when it has ended."""
-        is_first = request.getHeader(FIRST_HEADER) == TRUE
+        """Accepts a submission; the response is sent when it ends."""
+        is_first = request.getHeader(FIRST_SEND_HEADER) == TRUE
         self._callers.check_ready(is_first)
-        member = self._callers.member_of(request)
+        member = self._callers.authenticate(request)
         key = check_key(request.getHeader("idempotency-key"))
         body = request.content.read()
-        wanted = read_json(body, _decoder)
-        if wanted.member != member:
-            raise ClayfieldError(Kind.FORBIDDEN, f"Member {wanted.member!r}.")
-        wanted, refusal = fill_in(wanted, self._callers.cfg)
-        self._submit(request, key, body, wanted, is_first, refusal)
+        submission = read_json(body, _decoder)
+        if submission.member != member:
+            raise ClayfieldError(
+                Kind.FORBIDDEN,
+                f"The token does not belong to member {submission.member!r}.",
+            )
+        submission, refusal = fill_in(submission, self._callers.cfg)
+        self._submit(request, key, body, submission, is_first, refusal)
         return server.NOT_DONE_YET
 
     def _submit(
@@ -187,7 +210,7 @@
         request: http.Request,
         key: str,
         body: bytes,
-        wanted: SubmissionBody,
+        submission: SubmissionBody,
         is_first: bool,
         refusal: Problem | None,
     ) -> None:
@@ -197,18 +220,18 @@
             key, request.getHeader("traceparent") or ""
         )
         request.notifyFinish().addErrback(
-            self._on_hung_up, waiter, owned_key(wanted.member, key)
+            self._on_disconnected, waiter, owned_key(submission.member, key)
         )
         core.submit(
             JobRequest(
-                wanted.member,
+                submission.member,
                 key,
                 body,
-                wanted.service,
-                wanted.priority,
-                [bytes(task) for task in wanted.tasks],
-                bool(wanted.repeatable),
-                float(wanted.deadline_ms or 0),
+                submission.service,
+                submission.priority,
+                [bytes(task) for task in submission.tasks],
+                bool(submission.repeatable),
+                float(submission.deadline_ms or 0),
                 is_first,
                 traceparent,
                 refusal,
@@ -217,13 +240,15 @@
         )
         self._callers.kick()
 
-    def _on_hung_up(self, reason: object, waiter: Waiter, key: str) -> None:
-        waiter.is_gone = True
+    def _on_disconnected(
+        self, reason: object, waiter: Waiter, key: str
+    ) -> None:
+        waiter.is_disconnected = True
         self._callers.core.entry.drop_waiter(key, waiter)
 
 
 class LookupWaiter(Waiter):
-    """A caller that asks for the state of a key."""
+    """A request for the state or the answer of a key."""
 
     __slots__ = ("_key",)
 
@@ -231,73 +256,79 @@
         super().__init__(request)
         self._key = key
 
-    def tell(self, state: str) -> None:
-        """Writes the state of a key that has no answer yet."""
-        if self.is_gone:
+    def send_state(self, state: str) -> None:
+        """Sends the state of a submission that has no answer yet."""
+        if self.is_disconnected:
             return
         body = write_json(self._request, SubmissionState(self._key, state))
         self._request.write(body)
         self._request.finish()
 
 
-class _State(Endpoint):
+class _StateResource(Endpoint):
     def __init__(self, callers: Callers, key: str):
         super().__init__()
         self._callers = callers
         self._key = key
 
     def render_GET(self, request: http.Request) -> int:  # noqa: N802
-        """Tells the state of a key, or gives its answer."""
-        member = self._callers.member_of(request)
+        """Sends the answer of a key's submission, or its state."""
+        member = self._callers.authenticate(request)
         waiter = LookupWaiter(request, check_key(self._key))
-        request.notifyFinish().addErrback(waiter.on_gone)
+        request.notifyFinish().addErrback(waiter.on_disconnected)
         self._callers.core.look_up(member, self._key, waiter)
         self._callers.kick()
         return server.NOT_DONE_YET
 
 
 def check_key(key: str | None) -> str:
-    """Returns a caller's key.
+    """Returns an idempotency key if it is valid.
 
     Raises:
-        ClayfieldError: of kind BAD_KEY.
+        ClayfieldError: of kind BAD_KEY, when it is missing, empty, too long or
+            not printable ASCII.
     """
-    is_sound = (
+    is_valid = (
         key is not None
-        and 0 < len(key) <= MAX_KEY
+        and 0 < len(key) <= MAX_KEY_LENGTH
         and key.isascii()
         and key.isprintable()
     )
-    if not is_sound:
-        raise ClayfieldError(Kind.BAD_KEY, f"It is {key!r}.")
+    if not is_valid:
+        raise ClayfieldError(Kind.BAD_KEY, f"The key is {key!r}.")
     return key
 
 
 def fill_in(
-    wanted: SubmissionBody, cfg: Configuration
+    submission: SubmissionBody, cfg: Configuration
 ) -> tuple[SubmissionBody, Problem | None]:
-    """Returns a submission with its job's defaults, and why it cannot run.
+    """Returns a submission with its job's defaults, and why it is refused.
 
-    The reason is a part of the result, not raised: under an earlier
-    configuration the same key may have run, and only the registry knows.
+    The refusal is None if the submission may run. It is returned, not raised,
+    because the key may have been accepted under an earlier configuration; the
+    key's claim in the registry decides.
     """
-    if wanted.job:
-        job = cfg.jobs.get(wanted.job)
+    if submission.job:
+        job = cfg.jobs.get(submission.job)
         if job is None:
-            return wanted, Problem(Kind.NOT_FOUND, f"Job {wanted.job!r}.")
-        wanted = msgspec.structs.replace(
-            wanted,
-            service=wanted.service or job.service,
-            priority=wanted.priority or job.priority,
+            return submission, Problem(
+                Kind.NOT_FOUND, f"Job {submission.job!r} is not configured."
+            )
+        submission = msgspec.structs.replace(
+            submission,
+            service=submission.service or job.service,
+            priority=submission.priority or job.priority,
             repeatable=(
                 job.repeatable
-                if wanted.repeatable is None
-                else wanted.repeatable
+                if submission.repeatable is None
+                else submission.repeatable
             ),
-            deadline_ms=wanted.deadline_ms or job.deadline_ms or None,
+            deadline_ms=submission.deadline_ms or job.deadline_ms or None,
+        )
+    max_tasks = cfg.limits.tasks_per_job
+    if len(submission.tasks) > max_tasks:
+        detail = (
+            f"{len(submission.tasks)} tasks exceed tasks_per_job {max_tasks}."
         )
-    most = cfg.limits.tasks_per_job
-    if len(wanted.tasks) > most:
-        detail = f"{len(wanted.tasks)} tasks, tasks_per_job {most}."
-        return wanted, Problem(Kind.TOO_LARGE, detail)
-    return wanted, None
+        return submission, Problem(Kind.TOO_LARGE, detail)
+    return submission, None
--- a/packages/daemon/src/clayfield/daemon/http.py
+++ b/packages/daemon/src/clayfield/daemon/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP sides for callers and operators share."""
+"""HTTP server parts shared by the ports for callers and operators."""
 
 import hashlib
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 
 
 class LimitedRequest(server.Request):
-    """A request that must arrive within its bounds."""
+    """A request that must arrive within the limits of `RequestLimits`."""
 
     def __init__(
         self, channel: http.HTTPChannel, queued: object = http._QUEUED_SENTINEL
     ):
         super().__init__(channel, queued)
-        self._taken = 0
+        self._received_bytes = 0
         self._is_refused = False
         self._timer: interfaces.IDelayedCall | None = None
 
@@ -35,25 +35,28 @@
         return self.channel.factory.limits
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Learns how long the body will be, or that it is in chunks."""
+        """Starts the time limit; refuses a declared length over the limit."""
         limits = self._limits
         if not self.startedWriting and self._timer is None:
             self._timer = limits.reactor.callLater(
-                limits.request_ms / MS_PER_S, self._on_too_slow
+                limits.request_ms / MS_PER_S, self._on_timeout
             )
         if length is not None and length > limits.body_bytes():
             super().gotLength(0)
-            self._refuse(Kind.TOO_LARGE, f"body_bytes {limits.body_bytes()}")
+            self._refuse(
+                Kind.TOO_LARGE,
+                f"The body exceeds body_bytes {limits.body_bytes()}.",
+            )
             return
         super().gotLength(length)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Takes a piece of the body."""
-        self._taken += len(data)
+        """Stores a part of the body; refuses one over the limit."""
+        self._received_bytes += len(data)
         if self._is_refused:
             return
-        if self._taken > self._limits.body_bytes():
-            detail = f"body_bytes {self._limits.body_bytes()}"
+        if self._received_bytes > self._limits.body_bytes():
+            detail = f"The body exceeds body_bytes {self._limits.body_bytes()}."
             self._refuse(Kind.TOO_LARGE, detail)
             return
         super().handleContentChunk(data)
@@ -61,7 +64,7 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Handles the request once it is whole."""
+        """Handles a complete request."""
         self._cancel_timer()
         if self._is_refused:
             self.channel.loseConnection()
@@ -69,7 +72,7 @@
         super().requestReceived(command, path, version)
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Learns that the caller is gone."""
+        """Cancels the time limit."""
         self._cancel_timer()
         super().connectionLost(reason)
 
@@ -77,14 +80,16 @@
         if self._timer and self._timer.active():
             self._timer.cancel()
 
-    def _on_too_slow(self) -> None:
-        self._refuse(Kind.TOO_SLOW, f"request_ms {self._limits.request_ms}")
+    def _on_timeout(self) -> None:
+        self._refuse(
+            Kind.TOO_SLOW, f"The limit is request_ms {self._limits.request_ms}."
+        )
 
     def _refuse(self, kind: Kind, detail: str) -> None:
-        """Answers before the request is whole, and ends the connection.
+        """Sends an error before the request is complete, then closes.
 
-        What the caller still sends is read and dropped for a while, since
-        closing at once could keep the answer from reaching it.
+        Further data is read and dropped for `LINGER_S`: closing a connection
+        with unread data resets it, and the client may lose the response.
         """
         self._cancel_timer()
         if self.startedWriting or self.channel is None:
@@ -99,21 +104,21 @@
         )
         self.startedWriting = 1
         self.channel.transport.write(head.encode() + outcome.body)
-        self._timer = self._limits.reactor.callLater(LINGER_S, self._end)
+        self._timer = self._limits.reactor.callLater(LINGER_S, self._close)
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         if self.channel:
             self.channel.loseConnection()
 
 
 class RequestLimits:
-    """The bounds of one request.
+    """Limits on the size and duration of a request.
 
     Attributes:
-        reactor: of twisted.
-        body_bytes: returns the most bytes of a body.
-        request_ms: time for the whole request to arrive.
-        header_bytes: most bytes of headers.
+        reactor: twisted's reactor.
+        body_bytes: returns the largest allowed body, in bytes.
+        request_ms: time limit for the whole request to arrive, in ms.
+        header_bytes: largest allowed total of the headers, in bytes.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "reactor", "request_ms")
@@ -132,7 +137,7 @@
 
 
 class LimitedSite(server.Site):
-    """A site whose requests are bounded."""
+    """A site that applies `RequestLimits` to its requests."""
 
     def __init__(self, root: resource.Resource, limits: RequestLimits):
         super().__init__(root, requestFactory=LimitedRequest)
@@ -140,29 +145,29 @@
         self.displayTracebacks = False
 
     def buildProtocol(self, addr: object) -> interfaces.IProtocol:  # noqa: N802
-        """Makes a connection's protocol."""
+        """Returns the protocol of a new connection."""
         channel = super().buildProtocol(addr)
         channel.totalHeadersSize = self.limits.header_bytes
         return channel
 
     def log(self, request: http.Request) -> None:
-        """Logs nothing: metrics count requests, and traces follow them."""
+        """Writes no access log; metrics and traces cover the requests."""
 
 
 class Endpoint(resource.Resource):
-    """A resource whose errors are problem documents."""
+    """A resource that reports errors as problem documents (RFC 9457)."""
 
     isLeaf = True  # noqa: N815 - twisted's name
 
     def render(self, request: http.Request) -> bytes | int:
-        """Answers a request, also when answering it fails."""
+        """Handles a request and turns exceptions into error responses."""
         try:
             method = request.method.decode("ascii", "replace")
-            answer = getattr(self, f"render_{method}", None)
-            if answer is None:
+            method_handler = getattr(self, f"render_{method}", None)
+            if method_handler is None:
                 request.setResponseCode(http.NOT_ALLOWED)
                 return b""
-            return answer(request)
+            return method_handler(request)
         except ClayfieldError as exc:
             return write_problem(request, exc.problem)
         except Exception as exc:
@@ -172,36 +177,36 @@
 
 
 class Leaf(Endpoint):
-    """A resource that answers GET with what a function returns."""
+    """A resource whose GET returns the result of a function."""
 
     def __init__(self, get: Callable[[http.Request], bytes]):
         super().__init__()
         self._get = get
 
     def render_GET(self, request: http.Request) -> bytes:  # noqa: N802
-        """Answers."""
+        """Returns the response body."""
         return self._get(request)
 
 
 def write_problem(request: http.Request, problem: Problem) -> bytes:
-    """Writes a problem's status and headers; returns its body."""
+    """Sets status and headers for a problem; returns the body."""
     outcome = render_problem(problem)
     request.setResponseCode(outcome.status)
     request.setHeader(b"content-type", PROBLEM_TYPE)
     if problem.retry_after_ms is not None:
-        after_s = str(retry_after_s(problem.retry_after_ms))
-        request.setHeader(b"retry-after", after_s.encode())
+        retry_after = str(retry_after_s(problem.retry_after_ms))
+        request.setHeader(b"retry-after", retry_after.encode())
     return outcome.body
 
 
 def write_json(request: http.Request, value: object) -> bytes:
-    """Writes the headers of a JSON answer; returns its body."""
+    """Sets the headers of a JSON response; returns the body."""
     request.setHeader(b"content-type", JSON_TYPE)
     return msgspec.json.encode(value)
 
 
 def read_json(body: bytes, decoder: msgspec.json.Decoder) -> object:
-    """Returns the value of a JSON body.
+    """Returns the decoded value of a JSON body.
 
     Raises:
         ClayfieldError: of kind BAD_JSON or BAD_FIELD.
@@ -215,7 +220,7 @@
 
 
 def token_hash(request: http.Request) -> str:
-    """Returns the hash of a request's bearer token, "" when it has none."""
+    """Returns the SHA-256 of the bearer token in hex, "" without one."""
     text = request.getHeader("authorization") or ""
     if not text.startswith(BEARER):
         return ""
--- a/packages/daemon/src/clayfield/daemon/operators.py
+++ b/packages/daemon/src/clayfield/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface: configuration, status, metrics, health."""
+"""HTTP interface for operators: configuration, status, metrics, health."""
 
 import msgspec
 from twisted.web import http, resource, server
@@ -17,17 +17,28 @@
 )
 from clayfield.daemon.metrics import Metrics
 
-UNAVAILABLE = 503
+HTTP_UNAVAILABLE = 503
 
 
-class Accepted(msgspec.Struct, frozen=True):
-    """The answer to an accepted file."""
+class ConfigAccepted(msgspec.Struct, frozen=True):
+    """Response body for an accepted configuration file.
+
+    Attributes:
+        version: the version that the file became.
+    """
 
     version: int
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """A peer as this box sees it."""
+    """State of another box, as far as this box can tell.
+
+    Attributes:
+        box: name of the box.
+        hall: hall of the box.
+        is_live: whether its heartbeats arrive.
+        config_version: version it reported last, 0 if it reported none.
+    """
 
     box: str
     hall: str
@@ -36,7 +47,16 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """A replicated group as this box sees it."""
+    """State of a replicated group, as far as this box can tell.
+
+    Attributes:
+        group: name of the group.
+        leader: node that leads it, "" if not known.
+        term: the current term, 0 if this box is no member.
+        voters: nodes that vote, empty if this box is no member.
+        is_voter: whether this box votes.
+        is_open: whether the group's state machine accepts commands.
+    """
 
     group: str
     leader: str
@@ -47,7 +67,19 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The state of one box."""
+    """Response body for the state of one box.
+
+    Attributes:
+        box: name of the box.
+        hall: hall of the box.
+        node: name of this process, with its incarnation.
+        is_ready: whether the box can serve callers.
+        config_version: version of the configuration in force, 0 for none.
+        open_submissions: number of submissions without an answer.
+        key_prefixes: by hall, the prefix of new keys with that home hall.
+        peers: the other boxes.
+        groups: the replicated groups that this box takes part in.
+    """
 
     box: str
     hall: str
@@ -64,16 +96,16 @@
     """Returns the state of a box."""
     identity = core.identity
     peers = []
-    for box, place in identity.boxes.items():
+    for box, address in identity.boxes.items():
         peer = core.peers.get(box)
         if box != identity.box:
-            beat = peer.beat if peer else None
+            heartbeat = peer.beat if peer else None
             peers.append(
                 PeerStatus(
                     box,
-                    place.hall,
+                    address.hall,
                     core.peers.is_live(box),
-                    beat.config_version if beat else 0,
+                    heartbeat.config_version if heartbeat else 0,
                 )
             )
     return Status(
@@ -110,19 +142,20 @@
 
 
 class Operators:
-    """What the resources for operators share.
+    """State shared by the HTTP resources for operators.
 
     Attributes:
-        core: the box's decisions.
-        waiting: requests that wait for the control log, by number.
+        core: the state machine of the box.
+        pending_requests: requests to apply a file that have no response yet,
+            by the number that `BoxCore.apply` returned.
     """
 
     def __init__(self, core: BoxCore):
         self.core = core
-        self.waiting: dict[int, http.Request] = {}
+        self.pending_requests: dict[int, http.Request] = {}
 
-    def check(self, request: http.Request) -> None:
-        """Checks that a request comes from an operator.
+    def authenticate(self, request: http.Request) -> None:
+        """Checks that a request has the bearer token of an operator.
 
         Raises:
             ClayfieldError: of kind UNAUTHENTICATED.
@@ -134,8 +167,8 @@
         raise ClayfieldError(Kind.UNAUTHENTICATED)
 
     def on_applied(self, action: Applied) -> None:
-        """Answers the request that waits for a file's fate."""
-        request = self.waiting.pop(action.request, None)
+        """Responds to the request that submitted a configuration file."""
+        request = self.pending_requests.pop(action.request, None)
         if request is None:
             return
         if action.code:
@@ -143,34 +176,34 @@
             problem = Problem(Kind.from_code(action.code), action.detail)
             body = write_problem(request, problem)
         else:
-            body = write_json(request, Accepted(action.version))
+            body = write_json(request, ConfigAccepted(action.version))
         request.write(body)
         request.finish()
 
 
-class _Config(Endpoint):
+class _ConfigResource(Endpoint):
     def __init__(self, operators: Operators):
         super().__init__()
         self._operators = operators
 
     def render_GET(self, request: http.Request) -> bytes:  # noqa: N802
-        """Gives the configuration in force."""
-        self._operators.check(request)
+        """Returns the configuration in force."""
+        self._operators.authenticate(request)
         request.setHeader(b"content-type", JSON_TYPE)
         return to_bytes(self._operators.core.cfg)
 
     def render_PUT(self, request: http.Request) -> int:  # noqa: N802
-        """Takes a whole file."""
+        """Submits a configuration file; the response is sent once decided."""
         operators = self._operators
-        operators.check(request)
+        operators.authenticate(request)
         try:
             text = request.content.read().decode()
         except UnicodeDecodeError as exc:
             raise ClayfieldError(Kind.BAD_CONFIG, f"{exc}.") from exc
-        number = operators.core.apply(parse(text))
-        operators.waiting[number] = request
+        request_id = operators.core.apply(parse(text))
+        operators.pending_requests[request_id] = request
         request.notifyFinish().addErrback(
-            lambda _: operators.waiting.pop(number, None)
+            lambda _: operators.pending_requests.pop(request_id, None)
         )
         return server.NOT_DONE_YET
 
@@ -178,17 +211,17 @@
 def make_root(
     operators: Operators, metrics: Metrics, callers: resource.Resource
 ) -> resource.Resource:
-    """Returns the resources of the operators' port.
+    """Returns the root resource of the port for operators.
 
     Args:
-        operators: what they share.
-        metrics: of the box.
-        callers: the callers' resources, served here as well.
+        operators: state that the resources share.
+        metrics: the metrics of the box.
+        callers: resource for `/v1/submissions`, served on this port, too.
     """
     core = operators.core
 
     def status(request: http.Request) -> bytes:
-        operators.check(request)
+        operators.authenticate(request)
         return write_json(request, read_status(core))
 
     def scrape(request: http.Request) -> bytes:
@@ -198,7 +231,7 @@
     root = resource.Resource()
     versioned = resource.Resource()
     root.putChild(b"v1", versioned)
-    versioned.putChild(b"config", _Config(operators))
+    versioned.putChild(b"config", _ConfigResource(operators))
     versioned.putChild(b"status", Leaf(status))
     versioned.putChild(b"submissions", callers)
     root.putChild(b"metrics", Leaf(scrape))
@@ -207,7 +240,7 @@
 
 
 def add_health(root: resource.Resource, core: BoxCore) -> None:
-    """Adds `/healthz` and `/readyz`."""
+    """Adds the resources `/healthz` and `/readyz`."""
 
     def health(request: http.Request) -> bytes:
         return b"ok\n"
@@ -215,7 +248,7 @@
     def ready(request: http.Request) -> bytes:
         if core.is_ready:
             return b"ready\n"
-        request.setResponseCode(UNAVAILABLE)
+        request.setResponseCode(HTTP_UNAVAILABLE)
         return b"not ready\n"
 
     root.putChild(b"healthz", Leaf(health))
--- a/packages/daemon/src/clayfield/daemon/runtime.py
+++ b/packages/daemon/src/clayfield/daemon/runtime.py
@@ -206,9 +206,9 @@
                     traceparent = self.tracing.on_start(action)
                     self._workers.start(action, traceparent)
                 case Answer(waiter=waiter, outcome=outcome):
-                    waiter.answer(outcome)
+                    waiter.send_answer(outcome)
                 case Tell(waiter=waiter, state=state):
-                    waiter.tell(state)
+                    waiter.send_state(state)
                 case Persist():
                     self._persist(action)
                 case InForce(version=version):
--- a/packages/daemon/src/clayfield/daemon/store.py
+++ b/packages/daemon/src/clayfield/daemon/store.py
@@ -1,12 +1,13 @@
-"""The control log on disk: checksummed records in one data folder.
+"""Durable storage of a replicated log: checksummed records in a data folder.
 
-The folder holds `made` (when it was made, which names the disk) and one file
-of records, `log-N`. A snapshot starts a new file, so that the time to recover
-does not grow with the number of changes.
+The folder holds the file `made`, with the time when the folder was created,
+and one file of records, `log-N`. A snapshot starts a new file, so that the
+time to recover does not grow with the number of changes.
 
-A record is its length (4 bytes), a checksum of its content (8 bytes) and the
-content. An unfinished record at the end, as a crash leaves it, is cut off;
-damage with sound records behind it is refused.
+A record consists of its length (4 bytes), a checksum of its content (8 bytes)
+and the content. On opening, an incomplete record at the end, as left by a
+crash, is cut off. An invalid record that is followed by a valid one is an
+error, since it cannot come from an interrupted write.
 """
 
 import os
@@ -32,7 +33,7 @@
 
 HEADER = struct.Struct("<IQ")
 MAX_RECORD_BYTES = 256 * 1024 * 1024
-MADE_NAME = "made"
+IDENTITY_FILE = "made"
 LOG_PREFIX = "log-"
 FOLDER_MODE = 0o700
 
@@ -41,64 +42,68 @@
 
 
 class Store:
-    """A data folder.
+    """The records of a replicated log in a data folder.
 
     Attributes:
-        made: when the folder was made, in ns of the box's wall clock; it only
-            tells a new disk of this box from an older one.
-        state: what the records added up to when it was opened.
+        made: identifies the folder: the time of its creation, in ns since the
+            epoch, or the `identity` it was created with. A box whose folder
+            was replaced is recognized by it.
+        state: state restored from the records when the folder was opened.
     """
 
     def __init__(self, folder: str, identity: int | None = None):
-        """Opens a folder, or makes it.
+        """Opens a data folder, or creates it.
 
         Args:
-            folder: its path.
-            identity: what a new folder is named by, None for the time.
+            folder: path of the folder.
+            identity: value of `made` for a new folder, None for the time.
 
         Raises:
-            ClayfieldError: of kind STORE_DAMAGED or STORE_FAILED.
+            ClayfieldError: of kind STORE_DAMAGED, when the content is invalid;
+                of kind STORE_FAILED, when it cannot be read or written.
         """
         self._folder = pathlib.Path(folder)
         self._fd = -1
-        self._number = 0
+        self._log_number = 0
         self._path = self._folder
         try:
             self._folder.mkdir(FOLDER_MODE, parents=True, exist_ok=True)
-            self.made = self._read_made(identity)
+            self.made = self._read_identity(identity)
             records = self._open_log()
         except OSError as exc:
             raise ClayfieldError(Kind.STORE_FAILED, f"{exc}.") from exc
-        # Two of them: the box goes on with one while writes, on another
-        # thread, bring the other up to date.
+        # Two copies: the caller changes `state`, while `write`, in another
+        # thread, keeps the second equal to the records on disk.
         self.state = replay(records)
-        self._written = replay(records)
+        self._written_state = replay(records)
 
-    def _read_made(self, identity: int | None) -> int:
-        path = self._folder / MADE_NAME
+    def _read_identity(self, identity: int | None) -> int:
+        """Returns the identity of the folder; stores it in a new one."""
+        path = self._folder / IDENTITY_FILE
         if path.exists():
             return int(path.read_text())
-        if self._log_numbers():
+        if self._find_log_numbers():
             raise ClayfieldError(
-                Kind.STORE_DAMAGED, f"{path} is missing beside a log."
+                Kind.STORE_DAMAGED,
+                f"{path} is missing, but the folder has a log.",
             )
         made = time.time_ns() if identity is None else identity
-        self._write_whole(path, str(made).encode())
+        self._replace_file(path, str(made).encode())
         return made
 
-    def _log_numbers(self) -> list[int]:
+    def _find_log_numbers(self) -> list[int]:
         names = (p.name for p in self._folder.glob(LOG_PREFIX + "*"))
         numbers = [n.removeprefix(LOG_PREFIX) for n in names]
         return sorted(int(n) for n in numbers if n.isdigit())
 
-    def _write_whole(self, path: pathlib.Path, data: bytes) -> None:
-        """Puts a whole file in place, synced, or leaves the old one."""
-        scratch = path.with_name(path.name + ".new")
-        with open(scratch, "wb") as file:
+    def _replace_file(self, path: pathlib.Path, data: bytes) -> None:
+        """Replaces a file atomically and durably."""
+        temporary_path = path.with_name(path.name + ".new")
+        with open(temporary_path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(scratch, path)
+        os.replace(temporary_path, path)
         self._sync_folder()
 
     def _sync_folder(self) -> None:
@@ -109,40 +114,41 @@
             os.close(fd)
 
     def _open_log(self) -> list[Record]:
-        numbers = self._log_numbers()
-        self._number = numbers[-1] if numbers else 1
-        self._path = self._folder / f"{LOG_PREFIX}{self._number}"
+        """Opens the latest log for appending and returns its records."""
+        numbers = self._find_log_numbers()
+        self._log_number = numbers[-1] if numbers else 1
+        self._path = self._folder / f"{LOG_PREFIX}{self._log_number}"
         data = self._path.read_bytes() if numbers else b""
-        records, sound = read_records(data, str(self._path))
+        records, valid_bytes = read_records(data, str(self._path))
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
         self._fd = os.open(self._path, flags, 0o600)
-        if sound < len(data):
+        if valid_bytes < len(data):
             emit(
                 Event.STORE_REPAIRED,
                 path=str(self._path),
-                bytes=len(data) - sound,
+                bytes=len(data) - valid_bytes,
             )
-            os.ftruncate(self._fd, sound)
+            os.ftruncate(self._fd, valid_bytes)
             os.fsync(self._fd)
         self._sync_folder()
-        self._drop_older(numbers[:-1])
+        self._delete_logs(numbers[:-1])
         return records
 
-    def _drop_older(self, numbers: list[int]) -> None:
+    def _delete_logs(self, numbers: list[int]) -> None:
         for number in numbers:
             (self._folder / f"{LOG_PREFIX}{number}").unlink()
 
     def write(self, records: list[Record]) -> None:
-        """Writes records and syncs; blocks, so not for the loop's thread.
+        """Appends records and syncs them to disk; blocks.
 
         Raises:
-            ClayfieldError: of kind STORE_FAILED; the records may be on disk
-                or not, and nothing may be written after them.
+            ClayfieldError: of kind STORE_FAILED. The records may or may not
+                be on disk, and every later write fails, too.
         """
         if self._fd < 0:
             raise ClayfieldError(Kind.STORE_FAILED, "An earlier write failed.")
         try:
-            if any(isinstance(one, Snapshot) for one in records):
+            if any(isinstance(record, Snapshot) for record in records):
                 self._start_new_log(records)
             else:
                 self._append(records)
@@ -151,78 +157,90 @@
             raise ClayfieldError(Kind.STORE_FAILED, f"{exc}.") from exc
 
     def _append(self, records: list[Record]) -> None:
-        self._note(records)
+        self._apply_records(records)
         data = b"".join(map(frame_record, records))
         view = memoryview(data)
         while view:
             view = view[os.write(self._fd, view) :]
         os.fdatasync(self._fd)
 
-    def _note(self, records: list[Record]) -> None:
-        """Keeps what a new file must start with."""
+    def _apply_records(self, records: list[Record]) -> None:
+        """Applies records to the state that a new file starts with."""
         for record in records:
             match record:
                 case Born(instance=instance):
-                    self._written = Replayed()
-                    self._written.instance = instance
+                    self._written_state = Replayed()
+                    self._written_state.instance = instance
                 case HardState():
-                    self._written.hard = record
+                    self._written_state.hard = record
                 case Append(index=index, entry=entry):
-                    self._written.log.put(index, entry)
+                    self._written_state.log.put(index, entry)
                 case Snapshot():
-                    self._written.log.compact(record)
+                    self._written_state.log.compact(record)
 
     def _start_new_log(self, records: list[Record]) -> None:
-        self._note(records)
+        """Writes the state after the records to a new file."""
+        self._apply_records(records)
         old = self._path
-        self._number += 1
-        self._path = self._folder / f"{LOG_PREFIX}{self._number}"
-        self._write_whole(
-            self._path, b"".join(map(frame_record, self._image()))
+        self._log_number += 1
+        self._path = self._folder / f"{LOG_PREFIX}{self._log_number}"
+        self._replace_file(
+            self._path,
+            b"".join(map(frame_record, self._make_initial_records())),
         )
         os.close(self._fd)
         self._fd = os.open(self._path, os.O_WRONLY | os.O_APPEND)
         old.unlink()
 
-    def _image(self) -> list[Record]:
-        """Returns the fewest records that give the present state."""
-        log = self._written.log
-        image: list[Record] = [Born(self._written.instance), self._written.hard]
+    def _make_initial_records(self) -> list[Record]:
+        """Returns the records that a new file starts with."""
+        log = self._written_state.log
+        records: list[Record] = [
+            Born(self._written_state.instance),
+            self._written_state.hard,
+        ]
         if log.snapshot:
-            image.append(log.snapshot)
+            records.append(log.snapshot)
         for index in range(log.first_index, log.last_index + 1):
-            image.append(Append(index, log.entry_at(index)))
-        return image
+            records.append(Append(index, log.entry_at(index)))
+        return records
 
     def close(self) -> None:
-        """Closes the log; nothing can be written any more."""
+        """Closes the log; later writes fail."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
 
 
 def frame_record(record: Record) -> bytes:
-    """Returns a record with its length and checksum."""
+    """Returns the bytes of a record: length, checksum and content."""
     content = _encoder.encode(record)
     checksum = xxhash.xxh3_64_intdigest(content)
     return HEADER.pack(len(content), checksum) + content
 
 
 def read_records(data: bytes, path: str) -> tuple[list[Record], int]:
-    """Returns the records of a file and how many of its bytes are sound.
+    """Returns the records of a file and the number of bytes they take.
+
+    Bytes after that number are an incomplete record.
+
+    Args:
+        data: content of the file.
+        path: path of the file, for error messages.
 
     Raises:
-        ClayfieldError: of kind STORE_DAMAGED, when a record that is not sound
-            has a sound one behind it.
+        ClayfieldError: of kind STORE_DAMAGED, when an invalid record is
+            followed by a valid one.
     """
     records: list[Record] = []
     offset = 0
     while offset < len(data):
-        content = _content_at(data, offset)
+        content = _read_content(data, offset)
         if content is None:
-            if _has_sound_record(data, offset + 1):
+            if _has_valid_record(data, offset + 1):
                 raise ClayfieldError(
-                    Kind.STORE_DAMAGED, f"{path}, byte {offset}."
+                    Kind.STORE_DAMAGED,
+                    f"{path}: invalid record at byte {offset}.",
                 )
             break
         records.append(_decode_record(content, path, offset))
@@ -235,12 +253,12 @@
         return _decoder.decode(content)
     except msgspec.DecodeError as exc:
         raise ClayfieldError(
-            Kind.STORE_DAMAGED, f"{path}, byte {offset}: {exc}."
+            Kind.STORE_DAMAGED, f"{path}: record at byte {offset}: {exc}."
         ) from exc
 
 
-def _content_at(data: bytes, offset: int) -> bytes | None:
-    """Returns the content of the record at an offset, None if not sound."""
+def _read_content(data: bytes, offset: int) -> bytes | None:
+    """Returns the content of the record at an offset, None if invalid."""
     start = offset + HEADER.size
     if start > len(data):
         return None
@@ -254,8 +272,9 @@
     return content
 
 
-def _has_sound_record(data: bytes, offset: int) -> bool:
+def _has_valid_record(data: bytes, offset: int) -> bool:
+    """Returns whether a valid record starts at or after an offset."""
     return any(
-        _content_at(data, start) is not None
+        _read_content(data, start) is not None
         for start in range(offset, len(data) - HEADER.size)
     )
