--- a/packages/daemon/src/clayfield/daemon/__init__.py
+++ b/packages/daemon/src/clayfield/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The clayfieldd daemon: a box's decisions on sockets and a disk."""
+"""The clayfieldd daemon: runs one box, with its sockets and its disk."""
--- a/packages/daemon/src/clayfield/daemon/certificates.py
+++ b/packages/daemon/src/clayfield/daemon/certificates.py
@@ -1,4 +1,4 @@
-"""The TLS files of the callers' and operators' ports."""
+"""TLS certificate of the ports for callers and operators."""
 
 from OpenSSL import SSL
 from twisted.internet.ssl import ContextFactory
@@ -8,10 +8,17 @@
 
 
 class Certificates(ContextFactory):
-    """Gives new connections the certificate that was read last."""
+    """A TLS context factory whose certificate can be reloaded.
+
+    New connections get the certificate that was read last.
+    """
 
     def __init__(self, key: str, certificate: str):
-        """Reads the files, when they are given.
+        """Reads the files.
+
+        Args:
+            key: path of the private key, "" for ports without TLS.
+            certificate: path of the certificate chain.
 
         Raises:
             ClayfieldError: of kind BAD_SETTINGS, when they cannot be read.
@@ -29,10 +36,11 @@
 
     @property
     def is_used(self) -> bool:
-        """Whether the ports have TLS."""
+        """Whether the ports use TLS."""
         return bool(self._key)
 
     def _read(self) -> SSL.Context:
+        """Returns a context with the content of the files."""
         context = SSL.Context(SSL.TLS_SERVER_METHOD)
         context.set_min_proto_version(SSL.TLS1_2_VERSION)
         context.use_certificate_chain_file(self._certificate)
@@ -41,7 +49,7 @@
         return context
 
     def reload(self) -> None:
-        """Reads the files again; keeps the earlier ones if it cannot."""
+        """Reads the files again; on an error the earlier content stays."""
         if not self.is_used:
             return
         try:
--- a/packages/daemon/src/clayfield/daemon/main.py
+++ b/packages/daemon/src/clayfield/daemon/main.py
@@ -1,4 +1,4 @@
-"""The clayfieldd command: one box of the system."""
+"""The clayfieldd command: runs one box of the system."""
 
 import argparse
 import sys
@@ -15,13 +15,13 @@
 
 
 def main() -> None:
-    """Reads the settings and runs the box until it is stopped."""
+    """Reads the settings, runs the box until it is stopped, and exits."""
     parser = argparse.ArgumentParser(
         prog="clayfieldd",
-        description="Runs one clayfield box. SIGTERM stops it as planned;"
-        " SIGHUP reads the TLS files again.",
-        epilog="Exit codes: 0 stopped with nothing cut off; 1 failed; 2 bad"
-        " settings; 3 the planned stop ran out of time.",
+        description="Runs one clayfield box. SIGTERM starts a planned stop;"
+        " SIGHUP reloads the TLS files.",
+        epilog="Exit codes: 0 every submission ended before the stop; 1 failed;"
+        " 2 invalid settings; 3 the planned stop ran out of time.",
     )
     add_flags(parser, SETTINGS)
     flags = parser.parse_args()
@@ -34,6 +34,7 @@
 
 
 def _run(cfg: DaemonSettings) -> int:
+    """Runs the box and returns the exit code."""
     from clayfield.base import events
     from clayfield.daemon.process import Process
 
--- a/packages/daemon/src/clayfield/daemon/metrics.py
+++ b/packages/daemon/src/clayfield/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""What a box counts, in the form that Prometheus reads."""
+"""Metrics of a box in the Prometheus text format."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
@@ -20,40 +20,44 @@
         self._registry = Registry()
         self._slowdown = Histogram(
             "clayfield_slowdown",
-            "Response over the time of the longest task, by class.",
+            "Response time divided by that of the longest task, by class.",
             buckets=SLOWDOWN_BUCKETS,
             registry=self._registry,
         )
         self._response = Histogram(
             "clayfield_response_ms",
-            "Response in ms, by class.",
+            "Response time in ms, by class.",
             buckets=RESPONSE_BUCKETS,
             registry=self._registry,
         )
         self._totals = {
             name: self._counter(name, text)
             for name, text in (
-                ("submitted", "Submissions taken."),
-                ("resubmitted", "Submissions that joined an open one."),
+                ("submitted", "Submissions accepted."),
+                ("resubmitted", "Submissions whose key was already running."),
                 ("starts", "Task starts sent to workers."),
-                ("answered", "Task answers taken."),
-                ("retries", "Starts sent again."),
-                ("wasted", "Starts that brought no result."),
-                ("late_answers", "Answers that nobody waited for."),
+                ("answered", "Task answers received."),
+                ("retries", "Task starts repeated."),
+                ("wasted", "Task starts whose result was missing or unused."),
+                ("late_answers", "Task answers that came too late."),
             )
         }
-        self._refused = self._counter("refused", "Refusals, by code.")
-        self._finished = self._counter("finished", "Ends, by HTTP status.")
+        self._refused = self._counter(
+            "refused", "Refused submissions, by error code."
+        )
+        self._finished = self._counter(
+            "finished", "Finished submissions, by HTTP status."
+        )
         self._gauges = {
             name: self._gauge(name, text)
             for name, text in (
-                ("open_submissions", "Submissions without an answer yet."),
-                ("held_slots", "Slots that this box holds."),
+                ("open_submissions", "Submissions without an answer."),
+                ("held_slots", "Slots granted to this box."),
                 ("config_version", "The configuration version in force."),
                 ("ready", "Whether the box is ready, 1 or 0."),
-                ("queued_work_ms", "Slot time that waits at the scheduler."),
-                ("free_slots", "Free slots, where this box schedules."),
-                ("claims", "Claims held, by hall."),
+                ("queued_work_ms", "Slot time queued at the scheduler, in ms."),
+                ("free_slots", "Free slots, on the box that schedules."),
+                ("claims", "Claims in the registry, by hall."),
             )
         }
 
@@ -66,19 +70,20 @@
     def on_finished(
         self, sub: Submission, outcome: Outcome, response_ms: float
     ) -> None:
-        """Takes the end of a submission."""
+        """Records the response time of a finished submission."""
         labels = {"class": sub.priority}
         self._response.observe(labels, response_ms)
         if outcome.status == HTTP_OK and sub.longest_ms:
             self._slowdown.observe(labels, response_ms / sub.longest_ms)
 
     def render(self) -> bytes:
-        """Returns all metrics as text."""
-        self._read()
+        """Returns all metrics in the text format."""
+        self._update()
         content, _ = render(self._registry, ["text/plain"])
         return content
 
-    def _read(self) -> None:
+    def _update(self) -> None:
+        """Sets counters and gauges from the state of the box."""
         entry = self._core.entry
         for name, metric in self._totals.items():
             metric.set({}, getattr(entry.counters, name))
@@ -94,8 +99,8 @@
             labels = {"hall": hall}
             self._gauges["claims"].set(labels, len(registry.table.claims))
             if registry.scheduler:
-                self._read_scheduler(labels, registry.scheduler)
+                self._update_scheduler(labels, registry.scheduler)
 
-    def _read_scheduler(self, labels: dict, scheduler: object) -> None:
+    def _update_scheduler(self, labels: dict, scheduler: object) -> None:
         self._gauges["queued_work_ms"].set(labels, scheduler.queued_work_ms)
         self._gauges["free_slots"].set(labels, scheduler.free_slots)
--- a/packages/daemon/src/clayfield/daemon/peers.py
+++ b/packages/daemon/src/clayfield/daemon/peers.py
@@ -21,7 +21,7 @@
 from clayfield.base.events import Event, emit
 from clayfield.base.settings import address
 from clayfield.box import Identity
-from clayfield.daemon.peertls import PeerFiles, name_in
+from clayfield.daemon.peertls import PeerFiles, get_peer_name
 from clayfield.state.membership import node_name
 from clayfield.wire import (
     MAX_FRAME_BYTES,
@@ -229,7 +229,7 @@
                 Kind.BAD_FRAME,
                 f"box {greeting.box!r} is not listed in --boxes.",
             )
-        certified_name = name_in(self.transport)
+        certified_name = get_peer_name(self.transport)
         if certified_name not in (None, greeting.box):
             raise ClayfieldError(
                 Kind.BAD_FRAME,
--- a/packages/daemon/src/clayfield/daemon/peertls.py
+++ b/packages/daemon/src/clayfield/daemon/peertls.py
@@ -1,7 +1,8 @@
 """Mutual TLS between boxes.
 
-Each box's certificate is signed by the cluster's own authority and names the
-box as its common name; an address proves nothing.
+Each box has a certificate that is signed by the cluster's own authority and
+has the box's name as its common name. Peers are identified by that name, not
+by their address.
 """
 
 import pathlib
@@ -17,20 +18,25 @@
 
 
 class PeerFiles:
-    """The files for mutual TLS between boxes."""
+    """The key, certificate and authority for TLS between boxes."""
 
-    __slots__ = ("_authority", "_own")
+    __slots__ = ("_authority", "_certificate")
 
     def __init__(self, key: str, certificate: str, authority: str):
         """Reads the files.
 
+        Args:
+            key: path of this box's private key.
+            certificate: path of this box's certificate.
+            authority: path of the certificate that signs those of all boxes.
+
         Raises:
             ClayfieldError: of kind BAD_SETTINGS, when they cannot be used.
         """
         try:
             pem = pathlib.Path(key).read_bytes()
             pem += pathlib.Path(certificate).read_bytes()
-            self._own = ssl.PrivateCertificate.loadPEM(pem)
+            self._certificate = ssl.PrivateCertificate.loadPEM(pem)
             self._authority = ssl.Certificate.loadPEM(
                 pathlib.Path(authority).read_bytes()
             )
@@ -40,17 +46,17 @@
             ) from exc
 
     def for_server(self) -> ssl.CertificateOptions:
-        """Returns the options of the listening side."""
-        return self._own.options(self._authority)
+        """Returns the TLS options of the port for peers."""
+        return self._certificate.options(self._authority)
 
     def for_client(self, peer: str) -> "_ClientOptions":
-        """Returns the options of a stream to a peer."""
-        return _ClientOptions(self._own.options(self._authority), peer)
+        """Returns the TLS options of a connection to a peer."""
+        return _ClientOptions(self._certificate.options(self._authority), peer)
 
 
 @implementer(IOpenSSLClientConnectionCreator)
 class _ClientOptions:
-    """Makes TLS connections that insist on the peer's name."""
+    """Creates TLS connections that verify the peer's common name."""
 
     def __init__(self, options: ssl.CertificateOptions, peer: str):
         self._context = options.getContext()
@@ -60,7 +66,7 @@
     def clientConnectionForTLS(  # noqa: N802 - twisted's name
         self, tls_protocol: interfaces.IProtocol
     ) -> SSL.Connection:
-        """Returns the connection's TLS state."""
+        """Returns a new TLS connection."""
         connection = SSL.Connection(self._context, None)
         connection.set_app_data(tls_protocol)
         return connection
@@ -69,14 +75,14 @@
         self, connection: SSL.Connection, where: int, _: int
     ) -> None:
         if where & SSL.SSL_CB_HANDSHAKE_DONE:
-            name = _common_name(connection.get_peer_certificate())
+            name = _get_common_name(connection.get_peer_certificate())
             if name != self._peer:
-                detail = f"the certificate is {name!r}'s, not {self._peer!r}'s."
+                detail = f"the certificate names {name!r}, not {self._peer!r}."
                 reason = ClayfieldError(Kind.BAD_FRAME, detail)
                 connection.get_app_data().failVerification(Failure(reason))
 
 
-def _common_name(certificate: object) -> str:
+def _get_common_name(certificate: object) -> str:
     if certificate is None:
         return ""
     subject = certificate.to_cryptography().subject
@@ -84,7 +90,7 @@
     return str(names[0].value) if names else ""
 
 
-def name_in(transport: interfaces.ITransport) -> str | None:
-    """Returns the name that a peer's certificate proves, None without TLS."""
-    read = getattr(transport, "getPeerCertificate", None)
-    return _common_name(read()) if read else None
+def get_peer_name(transport: interfaces.ITransport) -> str | None:
+    """Returns the common name of a peer's certificate, None without TLS."""
+    get_certificate = getattr(transport, "getPeerCertificate", None)
+    return _get_common_name(get_certificate()) if get_certificate else None
--- a/packages/daemon/src/clayfield/daemon/platform.py
+++ b/packages/daemon/src/clayfield/daemon/platform.py
@@ -1,6 +1,7 @@
-"""The platform list: which workers are live and which are leaving.
+"""Polls the platform list: the workers of all halls.
 
-It is read over HTTP and lags. docs/api.md gives its form.
+The platform serves the list over HTTP as JSON. A change shows in it only after
+a delay, so that a listed worker may be unreachable.
 """
 
 from collections.abc import Callable
@@ -18,7 +19,11 @@
 
 
 class ListedWorker(msgspec.Struct, frozen=True):
-    """A worker as the list shows it; see `WorkerInfo`."""
+    """A worker in the list; see `WorkerInfo`.
+
+    Attributes:
+        state: "live", or "leaving" for a worker that accepts no new tasks.
+    """
 
     name: str
     address: str
@@ -33,7 +38,7 @@
 
 
 class PlatformList(msgspec.Struct, frozen=True):
-    """The list."""
+    """The document that the platform serves."""
 
     workers: list[ListedWorker]
 
@@ -41,31 +46,35 @@
 _decoder = msgspec.json.Decoder(PlatformList)
 
 
-def read_list(body: bytes) -> list[WorkerInfo]:
-    """Returns the workers of a list.
+def parse_worker_list(body: bytes) -> list[WorkerInfo]:
+    """Returns the workers of an encoded platform list.
 
     Raises:
         msgspec.DecodeError: the body is not a platform list.
     """
     return [
         WorkerInfo(
-            one.name,
-            one.address,
-            one.hall,
-            one.rack,
-            one.pool,
-            one.slots,
-            one.cores,
-            one.memory_mb,
-            one.accelerators,
-            one.state == "leaving",
+            worker.name,
+            worker.address,
+            worker.hall,
+            worker.rack,
+            worker.pool,
+            worker.slots,
+            worker.cores,
+            worker.memory_mb,
+            worker.accelerators,
+            worker.state == "leaving",
         )
-        for one in _decoder.decode(body).workers
+        for worker in _decoder.decode(body).workers
     ]
 
 
 class PlatformPoll:
-    """Reads the list again and again."""
+    """Reads the platform list at intervals.
+
+    A list that is unchanged is not reported again; when one cannot be read,
+    the earlier one stays in use.
+    """
 
     def __init__(
         self,
@@ -81,14 +90,14 @@
         pool = HTTPConnectionPool(reactor)
         self._agent = Agent(reactor, connectTimeout=TIMEOUT_S, pool=pool)
         self._loop = task.LoopingCall(self._poll)
-        self._last = b""
+        self._last_body = b""
 
     def start(self) -> None:
-        """Begins to read."""
+        """Starts to poll."""
         self._loop.start(self._interval_s)
 
     def stop(self) -> None:
-        """Ends reading."""
+        """Stops polling."""
         if self._loop.running:
             self._loop.stop()
 
@@ -100,20 +109,20 @@
         return body
 
     def _poll(self) -> defer.Deferred:
-        reading = defer.ensureDeferred(self._fetch())
-        reading.addTimeout(TIMEOUT_S, self._reactor)
-        reading.addCallbacks(self._take, self._on_failure)
-        return reading
+        fetched = defer.ensureDeferred(self._fetch())
+        fetched.addTimeout(TIMEOUT_S, self._reactor)
+        fetched.addCallbacks(self._on_body, self._on_failure)
+        return fetched
 
-    def _take(self, body: bytes) -> None:
-        if body == self._last:
+    def _on_body(self, body: bytes) -> None:
+        if body == self._last_body:
             return
         try:
-            workers = read_list(body)
+            workers = parse_worker_list(body)
         except msgspec.DecodeError as exc:
             emit(Event.LIST_FAILED, error=str(exc))
             return
-        self._last = body
+        self._last_body = body
         self._on_list(workers)
 
     def _on_failure(self, failure: object) -> None:
--- a/packages/daemon/src/clayfield/daemon/settings.py
+++ b/packages/daemon/src/clayfield/daemon/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings."""
+"""Settings of the daemon and the checks between them."""
 
 from clayfield.base import ClayfieldError, Kind
 from clayfield.base.settings import (
@@ -10,73 +10,116 @@
 from clayfield.box import PeerAddress
 
 
-def read_boxes(text: str) -> dict[str, PeerAddress]:
-    """Reads `NAME@HALL=IP:PORT[/control],...`."""
+def parse_boxes(text: str) -> dict[str, PeerAddress]:
+    """Returns the boxes in `NAME@HALL=IP:PORT[/control],...` by name.
+
+    Raises:
+        ValueError: the text is malformed, or a name appears twice.
+    """
     boxes: dict[str, PeerAddress] = {}
     for item in filter(None, text.split(",")):
-        left, separator, right = item.strip().partition("=")
-        name, at, hall = left.partition("@")
-        if not (separator and at and name and hall):
+        box, separator, endpoint = item.strip().partition("=")
+        name, at_sign, hall = box.partition("@")
+        if not (separator and at_sign and name and hall):
             raise ValueError(f"{item!r} is not NAME@HALL=IP:PORT[/control]")
-        place, _, role = right.partition("/")
+        address_text, _, role = endpoint.partition("/")
         if role not in ("", "control"):
             raise ValueError(f"{item!r}: role {role!r} is not 'control'")
-        address(place)
+        address(address_text)
         if name in boxes:
-            raise ValueError(f"{name!r} stands twice")
-        boxes[name] = PeerAddress(hall, place, role == "control")
+            raise ValueError(f"box {name!r} is listed twice")
+        boxes[name] = PeerAddress(hall, address_text, role == "control")
     if not boxes:
-        raise ValueError("names no box")
+        raise ValueError("lists no box")
     return boxes
 
 
 MS = whole_number(1, 86_400_000)
 
 SETTINGS = (
-    Setting("box", str, None, "this box's name"),
+    Setting("box", str, None, "name of this box"),
     Setting(
         "boxes",
-        read_boxes,
+        parse_boxes,
         None,
-        "all boxes, this one too: NAME@HALL=IP:PORT[/control],...",
+        "all boxes, including this one: NAME@HALL=IP:PORT[/control],...",
+    ),
+    Setting(
+        "cluster",
+        str,
+        "clayfield",
+        "name of the cluster, the same on all boxes",
+    ),
+    Setting(
+        "callers", address, "127.0.0.1:7300", "address of the port for callers"
+    ),
+    Setting(
+        "operators",
+        address,
+        "127.0.0.1:7301",
+        "address of the port for operators",
     ),
-    Setting("cluster", str, "clayfield", "name that all boxes share"),
-    Setting("callers", address, "127.0.0.1:7300", "where callers connect"),
-    Setting("operators", address, "127.0.0.1:7301", "where operators connect"),
     Setting("platform_list", str, "", "URL of the platform list"),
-    Setting("platform_list_ms", MS, "1000", "how often to read it"),
     Setting(
-        "data_folder", str, "", "folder for durable state; control boxes only"
+        "platform_list_ms",
+        MS,
+        "1000",
+        "interval between reads of the list, in ms",
+    ),
+    Setting(
+        "data_folder",
+        str,
+        "",
+        "folder for durable state; only for boxes marked /control",
+    ),
+    Setting(
+        "first_config",
+        str,
+        "",
+        "configuration file to apply if none is in force",
     ),
-    Setting("first_config", str, "", "file applied when none is in force"),
     Setting("tls_key", str, "", "key file for callers and operators"),
-    Setting("tls_certificate", str, "", "certificate file for them"),
+    Setting(
+        "tls_certificate", str, "", "certificate file for callers and operators"
+    ),
     Setting("peer_tls_key", str, "", "key file for the other boxes"),
-    Setting("peer_tls_certificate", str, "", "certificate file for them"),
-    Setting("peer_tls_authority", str, "", "certificates that sign boxes"),
     Setting(
-        "allow_plain", yes_or_no, "no", "serve without TLS beyond loopback"
+        "peer_tls_certificate", str, "", "certificate file for the other boxes"
+    ),
+    Setting(
+        "peer_tls_authority",
+        str,
+        "",
+        "file of the authority that signs the boxes' certificates",
+    ),
+    Setting(
+        "allow_plain",
+        yes_or_no,
+        "no",
+        "allow ports without TLS on other than loopback addresses",
     ),
     Setting(
         "header_bytes",
         whole_number(256, 1 << 20),
         "16384",
-        "most bytes of headers in a request",
+        "largest total of headers in a request, in bytes",
     ),
-    Setting("request_ms", MS, "10000", "time for a request to arrive"),
-    Setting("drain_ms", MS, "60000", "longest planned stop"),
+    Setting(
+        "request_ms", MS, "10000", "time limit for a request to arrive, in ms"
+    ),
+    Setting("drain_ms", MS, "60000", "time limit of a planned stop, in ms"),
     Setting(
         "balancer_lag_ms",
         whole_number(0, 600_000),
         "2000",
-        "how long a stopping box goes on accepting",
+        "time that a stopping box goes on accepting, in ms",
     ),
-    Setting("trace_endpoint", str, "", "OTLP/HTTP URL for spans"),
+    Setting("trace_endpoint", str, "", "OTLP/HTTP URL to export spans to"),
     Setting(
         "trace_percent",
         whole_number(0, 100),
         "1",
-        "share of submissions without a sampled parent that are traced",
+        "percentage of traced submissions among those without a parent",
     ),
     Setting("log_level", str, "info", "debug, info, warning or error"),
 )
@@ -85,24 +128,27 @@
 
 
 class DaemonSettings:
-    """The daemon's settings, checked against each other.
+    """The daemon's settings, each readable as an attribute of its name.
 
     Attributes:
-        values: each setting by its name.
+        values: value of each setting by its name.
     """
 
     __slots__ = ("values",)
 
     def __init__(self, values: dict[str, object]):
-        """Checks the settings as a whole.
+        """Checks that the settings are consistent.
+
+        Args:
+            values: value of each setting by its name.
 
         Raises:
-            ClayfieldError: of kind BAD_SETTINGS, naming every fault.
+            ClayfieldError: of kind BAD_SETTINGS, listing every problem.
         """
         self.values = values
-        faults = [*self._box_faults(), *self._tls_faults()]
-        if faults:
-            raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(faults))
+        problems = [*self._find_box_problems(), *self._find_tls_problems()]
+        if problems:
+            raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(problems))
 
     def __getattr__(self, name: str) -> object:
         try:
@@ -110,46 +156,50 @@
         except KeyError as exc:
             raise AttributeError(name) from exc
 
-    def _box_faults(self) -> list[str]:
-        faults = []
+    def _find_box_problems(self) -> list[str]:
+        problems = []
         if self.box not in self.boxes:
             return [f"--box {self.box!r} is not named by --boxes."]
         is_control = self.boxes[self.box].is_control
         if is_control and not self.data_folder:
-            faults.append("--data-folder is missing; a control box needs one.")
+            problems.append(
+                "--data-folder is missing; a control box needs one."
+            )
         if not is_control and self.data_folder:
-            faults.append(
+            problems.append(
                 "--data-folder is given, but --boxes does not mark this box"
                 " /control; drop one or add the other."
             )
         if not any(box.is_control for box in self.boxes.values()):
-            faults.append("--boxes marks no box /control; mark 1, 3 or 5.")
-        return faults
+            problems.append("--boxes marks no box /control; mark 1, 3 or 5.")
+        return problems
 
-    def _tls_faults(self) -> list[str]:
-        faults = []
+    def _find_tls_problems(self) -> list[str]:
+        problems = []
         if bool(self.tls_key) != bool(self.tls_certificate):
-            faults.append("--tls-key and --tls-certificate go together.")
-        peer = (
+            problems.append("--tls-key and --tls-certificate go together.")
+        peer_files = (
             self.peer_tls_key,
             self.peer_tls_certificate,
             self.peer_tls_authority,
         )
-        if any(peer) and not all(peer):
-            faults.append("The three --peer-tls settings go together.")
-        places = {
+        if any(peer_files) and not all(peer_files):
+            problems.append("The three --peer-tls settings go together.")
+        hosts = {
             "--callers": self.callers[0],
             "--operators": self.operators[0],
         }
-        own = self.boxes.get(self.box)
-        if own:
-            places["--boxes"] = address(own.address)[0]
-        for flag, host in places.items():
-            is_tls = all(peer) if flag == "--boxes" else bool(self.tls_key)
+        own_box = self.boxes.get(self.box)
+        if own_box:
+            hosts["--boxes"] = address(own_box.address)[0]
+        for flag, host in hosts.items():
+            is_tls = (
+                all(peer_files) if flag == "--boxes" else bool(self.tls_key)
+            )
             is_open = not host.startswith(LOOPBACK) and not is_tls
             if is_open and not self.allow_plain:
-                faults.append(
+                problems.append(
                     f"{flag} {host} is not loopback and has no TLS; give the"
                     " files, or --allow-plain yes."
                 )
-        return faults
+        return problems
--- a/packages/daemon/src/clayfield/daemon/tracing.py
+++ b/packages/daemon/src/clayfield/daemon/tracing.py
@@ -1,4 +1,8 @@
-"""Traces: a span for the submission, its claim, its wait and each task."""
+"""OpenTelemetry traces of submissions.
+
+A trace has a span for the submission and below it one for the claim of its
+key, one for the wait for slots and one for each task.
+"""
 
 import random
 
@@ -16,10 +20,10 @@
 
 
 class Tracing:
-    """The spans of this box's submissions.
+    """Creates the spans of this box's submissions.
 
-    Without an exporter it makes none, and hands a caller's `traceparent` on
-    to the worker as it came.
+    Without an exporter no spans are created, and a caller's `traceparent` is
+    passed to the worker unchanged.
     """
 
     def __init__(
@@ -29,10 +33,19 @@
         percent: int,
         rng: random.Random,
     ):
+        """Creates the tracer.
+
+        Args:
+            box: name of this box.
+            exporter: destination of the spans, None for no tracing.
+            percent: percentage of submissions to trace of those that come
+                without a `traceparent`.
+            rng: source of the sampling decisions.
+        """
         self._rng = rng
         self._percent = percent
-        self._roots: dict[str, trace.Span] = {}
-        self._tasks: dict[int, trace.Span] = {}
+        self._submission_spans: dict[str, trace.Span] = {}
+        self._task_spans: dict[int, trace.Span] = {}
         self._provider: TracerProvider | None = None
         if exporter:
             resource = Resource.create(
@@ -43,14 +56,14 @@
             self._tracer = self._provider.get_tracer("clayfield")
 
     def begin(self, key: str, parent: str) -> str:
-        """Starts the trace of a submission, if it is to be traced.
+        """Starts the span of a submission, if it is sampled.
 
         Args:
-            key: the caller's key.
-            parent: the caller's traceparent, or "".
+            key: the idempotency key.
+            parent: the caller's `traceparent`, or "".
 
         Returns:
-            The traceparent that its tasks carry on.
+            The `traceparent` of the span; that of the caller if not sampled.
         """
         if self._provider is None or not self._is_sampled(parent):
             return parent
@@ -58,9 +71,9 @@
         span = self._tracer.start_span(
             "submission", context, attributes={"clayfield.key": key}
         )
-        name = _traceparent_of(span)
-        self._roots[name] = span
-        return name
+        traceparent = _format_traceparent(span)
+        self._submission_spans[traceparent] = span
+        return traceparent
 
     def _is_sampled(self, parent: str) -> bool:
         if parent:
@@ -68,8 +81,8 @@
         return self._rng.random() * 100 < self._percent
 
     def on_start(self, action: StartTask) -> str:
-        """Starts the span of a task; returns the worker's traceparent."""
-        root = self._roots.get(action.traceparent)
+        """Starts the span of a task and returns its `traceparent`."""
+        root = self._submission_spans.get(action.traceparent)
         if root is None:
             return action.traceparent
         span = self._tracer.start_span(
@@ -81,42 +94,44 @@
                 "clayfield.attempt": action.attempt,
             },
         )
-        self._tasks[action.grant] = span
-        return _traceparent_of(span)
+        self._task_spans[action.grant] = span
+        return _format_traceparent(span)
 
     def on_task_end(self, grant: int, end: TaskEnd) -> None:
         """Ends the span of a task."""
-        span = self._tasks.pop(grant, None)
+        span = self._task_spans.pop(grant, None)
         if span:
             span.set_attribute("clayfield.end", end.name.lower())
             span.end()
 
     def on_finished(self, sub: Submission, outcome: Outcome) -> None:
-        """Ends the trace of a submission, with the hops before its tasks."""
-        root = self._roots.pop(sub.traceparent, None)
+        """Ends the span of a submission and adds those of claim and slots."""
+        root = self._submission_spans.pop(sub.traceparent, None)
         if root is None:
             return
         if sub.is_claimed:
-            self._add_hop(root, "claim", sub.claimed_ms - sub.arrived_ms)
+            self._add_child_span(root, "claim", sub.claimed_ms - sub.arrived_ms)
         if sub.granted_ms:
-            self._add_hop(root, "slots", sub.granted_ms - sub.arrived_ms)
+            self._add_child_span(root, "slots", sub.granted_ms - sub.arrived_ms)
         root.set_attribute("clayfield.status", outcome.status)
         root.end()
 
-    def _add_hop(self, root: trace.Span, name: str, took_ms: float) -> None:
-        """Adds a hop that began with the submission."""
+    def _add_child_span(
+        self, root: trace.Span, name: str, took_ms: float
+    ) -> None:
+        """Adds a child span that starts with the submission."""
         context = trace.set_span_in_context(root)
         start_ns = root.start_time
         span = self._tracer.start_span(name, context, start_time=start_ns)
         span.end(start_ns + int(took_ms * NS_PER_MS))
 
     def close(self) -> None:
-        """Sends what is left."""
+        """Exports the remaining spans and stops the exporter."""
         if self._provider:
             self._provider.shutdown()
 
 
-def _traceparent_of(span: trace.Span) -> str:
+def _format_traceparent(span: trace.Span) -> str:
     carrier: dict[str, str] = {}
     propagate.inject(carrier, trace.set_span_in_context(span))
     return carrier.get(TRACEPARENT, "")
