--- a/packages/cli/src/clayfield/cli/client.py
+++ b/packages/cli/src/clayfield/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP requests to a box."""
+"""HTTP client for the boxes and nodes of the system."""
 
 import io
 import json
@@ -21,11 +21,11 @@
 
 
 class Response:
-    """A response.
+    """An HTTP response.
 
     Attributes:
-        status: of HTTP.
-        body: whole.
+        status: the HTTP status code.
+        body: the complete body.
     """
 
     __slots__ = ("body", "status")
@@ -36,11 +36,11 @@
 
     @property
     def is_ok(self) -> bool:
-        """Whether the status is one of success."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
 
     def json(self) -> object:
-        """Returns the body as JSON, None where it is none."""
+        """Returns the decoded JSON body, None if it is not JSON."""
         try:
             return json.loads(self.body)
         except ValueError:
@@ -48,8 +48,8 @@
 
 
 @implementer(IPolicyForHTTPS)
-class _Trust:
-    """Trusts the certificates that sign the boxes' own."""
+class _AuthorityPolicy:
+    """A TLS policy that trusts only the given certificate authority."""
 
     def __init__(self, authority: str):
         data = pathlib.Path(authority).read_bytes()
@@ -61,14 +61,26 @@
 
 
 class Client:
-    """A client of one or more boxes."""
+    """An HTTP client with a bearer token and a connection pool."""
 
     def __init__(
         self, reactor: interfaces.IReactorTCP, token: str, authority: str
     ):
+        """Creates a client.
+
+        Args:
+            reactor: twisted's reactor.
+            token: the bearer token to send.
+            authority: path of the certificate to trust, "" for those of the
+                system.
+        """
         pool = HTTPConnectionPool(reactor)
         pool.maxPersistentPerHost = MAX_CONNECTIONS
-        policy = _Trust(authority) if authority else BrowserLikePolicyForHTTPS()
+        policy = (
+            _AuthorityPolicy(authority)
+            if authority
+            else BrowserLikePolicyForHTTPS()
+        )
         self._agent = Agent(
             reactor, policy, connectTimeout=CONNECT_TIMEOUT_S, pool=pool
         )
@@ -81,13 +93,13 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Sends a request and reads the whole response."""
-        fields = Headers({"authorization": [f"Bearer {self._token}"]})
+        """Sends a request and returns the complete response."""
+        request_headers = Headers({"authorization": [f"Bearer {self._token}"]})
         for name, value in (headers or {}).items():
-            fields.setRawHeaders(name, [value])
+            request_headers.setRawHeaders(name, [value])
         producer = FileBodyProducer(_as_file(body)) if body else None
         response = await self._agent.request(
-            method.encode(), url.encode(), fields, producer
+            method.encode(), url.encode(), request_headers, producer
         )
         return Response(response.code, await readBody(response))
 
@@ -96,8 +108,13 @@
     return io.BytesIO(body)
 
 
-def gather(tasks: list) -> defer.Deferred:
-    """Waits for many coroutines at once."""
+def gather(coroutines: list) -> defer.Deferred:
+    """Runs coroutines concurrently and returns their results in order.
+
+    Raises:
+        twisted.internet.defer.FirstError: a coroutine raised an exception.
+    """
     return defer.gatherResults(
-        [defer.ensureDeferred(one) for one in tasks], consumeErrors=True
+        [defer.ensureDeferred(coroutine) for coroutine in coroutines],
+        consumeErrors=True,
     )
--- a/packages/cli/src/clayfield/cli/commands.py
+++ b/packages/cli/src/clayfield/cli/commands.py
@@ -1,4 +1,7 @@
-"""What each command of the command line does."""
+"""Implements the commands of the command line, except `job`.
+
+Each command is a coroutine that prints its result and returns the exit code.
+"""
 
 import argparse
 import json
@@ -13,17 +16,21 @@
 EXIT_OK = 0
 EXIT_REFUSED = 1
 EXIT_USAGE = 2
-EXIT_UNREACHED = 3
-EXIT_RACE = 4
+EXIT_UNREACHABLE = 3
+EXIT_CONFLICT = 4
 EXIT_NOT_IN_FORCE = 5
 HTTP_CONFLICT = 409
 POLL_S = 0.25
 WATCH_S = 1.0
-OK = 200
+HTTP_OK = 200
 
 
 class ExitError(Exception):
-    """Ends the command with a code and a message."""
+    """Ends the command with an exit code and a message.
+
+    Attributes:
+        code: the exit code.
+    """
 
     def __init__(self, code: int, message: str):
         super().__init__(message)
@@ -31,14 +38,14 @@
 
 
 class Context:
-    """What commands share.
+    """Parameters shared by all commands.
 
     Attributes:
-        reactor: of twisted.
-        client: sends requests.
-        urls: of the boxes.
-        timeout_s: longest wait.
-        is_json: print results as JSON.
+        reactor: twisted's reactor.
+        client: the HTTP client.
+        urls: base URLs of the boxes.
+        timeout_s: time limit of a request, in seconds.
+        is_json: whether results are printed as JSON.
     """
 
     __slots__ = ("client", "is_json", "reactor", "timeout_s", "urls")
@@ -58,35 +65,35 @@
         self.is_json = is_json
 
     def print(self, value: object, text: str) -> None:
-        """Prints a result in the form asked for."""
+        """Prints a result as JSON or as text."""
         print(json.dumps(value) if self.is_json else text)
 
-    async def ask(
+    async def request(
         self,
         method: str,
         path: str,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Asks the boxes in turn until one answers.
+        """Sends a request to one box after the other until one responds.
 
         Raises:
-            ExitError: none did.
+            ExitError: no box responded.
         """
         reasons = []
         for url in self.urls:
-            asking = defer.ensureDeferred(
+            response = defer.ensureDeferred(
                 self.client.request(method, url + path, body, headers)
             )
-            asking.addTimeout(self.timeout_s, self.reactor)
+            response.addTimeout(self.timeout_s, self.reactor)
             try:
-                return await asking
+                return await response
             except Exception as exc:
                 reasons.append(f"{url}: {exc or type(exc).__name__}")
-        raise ExitError(EXIT_UNREACHED, "; ".join(reasons))
+        raise ExitError(EXIT_UNREACHABLE, "; ".join(reasons))
 
     def progress(self, text: str) -> None:
-        """Shows a line that the next replaces, on a terminal only."""
+        """Replaces the progress line, if standard error is a terminal."""
         if sys.stderr.isatty():
             print(f"\r\033[K{text}", end="", file=sys.stderr, flush=True)
 
@@ -95,7 +102,7 @@
     """Returns the text of a file, or of standard input for `-`.
 
     Raises:
-        ExitError: it cannot be read.
+        ExitError: the file cannot be read.
     """
     try:
         if name == "-":
@@ -106,40 +113,49 @@
 
 
 def _parse(ctx: Context, name: str) -> Configuration:
+    """Returns the configuration in a file; prints the errors in it.
+
+    Raises:
+        ExitError: the file cannot be read or has errors.
+    """
     try:
         return parse(read_file(name))
     except BadConfigError as exc:
-        faults = [
+        problems = [
             {
-                "line": fault.line,
-                "path": fault.path,
-                "problem": fault.problem,
-                "remedy": fault.remedy,
+                "line": diagnostic.line,
+                "path": diagnostic.path,
+                "problem": diagnostic.problem,
+                "remedy": diagnostic.remedy,
             }
-            for fault in exc.faults
+            for diagnostic in exc.faults
         ]
-        text = "\n".join(f"{name}: {fault}" for fault in exc.faults)
-        ctx.print({"faults": faults}, text)
+        text = "\n".join(f"{name}: {diagnostic}" for diagnostic in exc.faults)
+        ctx.print({"faults": problems}, text)
         raise ExitError(
-            EXIT_REFUSED, f"{name}: {len(faults)} faults; nothing was applied"
+            EXIT_REFUSED, f"{name}: {len(problems)} errors; nothing was applied"
         ) from exc
 
 
 async def check(ctx: Context, flags: argparse.Namespace) -> int:
-    """Checks a file."""
+    """Checks a configuration file without applying it."""
     cfg = _parse(ctx, flags.file)
-    ctx.print({"version": cfg.version}, f"sound; would be {cfg.version}")
+    ctx.print(
+        {"version": cfg.version}, f"valid; would be version {cfg.version}"
+    )
     return EXIT_OK
 
 
 async def apply(ctx: Context, flags: argparse.Namespace) -> int:
-    """Applies a file."""
+    """Applies a configuration file."""
     _parse(ctx, flags.file)
     text = read_file(flags.file)
-    response = await ctx.ask("PUT", "/v1/config", text.encode())
+    response = await ctx.request("PUT", "/v1/config", text.encode())
     if not response.is_ok:
-        is_race = response.status == HTTP_CONFLICT
-        return _tell_problem(ctx, response, EXIT_RACE if is_race else None)
+        is_conflict = response.status == HTTP_CONFLICT
+        return _print_problem(
+            ctx, response, EXIT_CONFLICT if is_conflict else None
+        )
     version = response.json()["version"]
     if flags.wait:
         return await _wait_in_force(ctx, version)
@@ -148,84 +164,94 @@
 
 
 async def _wait_in_force(ctx: Context, version: int) -> int:
+    """Waits until every reachable box has a version in force."""
     waited_s = 0.0
     while True:
-        reached = await _read_versions(ctx)
-        late = sorted(b for b, v in reached.items() if v and v < version)
-        gone = sorted(b for b, v in reached.items() if not v)
-        if not late or waited_s >= ctx.timeout_s:
+        versions = await _read_versions(ctx)
+        outdated = sorted(b for b, v in versions.items() if v and v < version)
+        unreachable = sorted(b for b, v in versions.items() if not v)
+        if not outdated or waited_s >= ctx.timeout_s:
             break
-        ctx.progress(f"waiting for {', '.join(late)}")
+        ctx.progress(f"waiting for {', '.join(outdated)}")
         await task.deferLater(ctx.reactor, POLL_S)
         waited_s += POLL_S
     ctx.progress("")
     text = f"version {version} is in force"
-    if late:
-        text = f"accepted as {version}; not in force on {', '.join(late)}"
-    if gone:
-        text += f"; not reached: {', '.join(gone)}"
-    ctx.print({"version": version, "late": late, "unreached": gone}, text)
-    return EXIT_NOT_IN_FORCE if late else EXIT_OK
+    if outdated:
+        text = (
+            f"accepted as version {version};"
+            f" not in force on {', '.join(outdated)}"
+        )
+    if unreachable:
+        text += f"; not reachable: {', '.join(unreachable)}"
+    ctx.print(
+        {"version": version, "late": outdated, "unreached": unreachable}, text
+    )
+    return EXIT_NOT_IN_FORCE if outdated else EXIT_OK
 
 
 async def _read_versions(ctx: Context) -> dict[str, int]:
-    """Returns the version in force by box, 0 for one that is not reached."""
-    response = await ctx.ask("GET", "/v1/status")
+    """Returns the version in force by box, 0 for an unreachable box.
+
+    Empty if the box that responded refused the request.
+    """
+    response = await ctx.request("GET", "/v1/status")
     if not response.is_ok:
         return {}
-    seen = response.json()
-    versions = {seen["box"]: seen["config_version"]}
-    for peer in seen["peers"]:
+    document = response.json()
+    versions = {document["box"]: document["config_version"]}
+    for peer in document["peers"]:
         is_live = peer["is_live"]
         versions[peer["box"]] = peer["config_version"] if is_live else 0
     return versions
 
 
 async def show(ctx: Context, flags: argparse.Namespace) -> int:
-    """Shows the configuration in force."""
-    response = await ctx.ask("GET", "/v1/config")
+    """Prints the configuration in force."""
+    response = await ctx.request("GET", "/v1/config")
     if not response.is_ok:
-        return _tell_problem(ctx, response)
+        return _print_problem(ctx, response)
     print(json.dumps(response.json(), indent=None if ctx.is_json else 2))
     return EXIT_OK
 
 
 async def status(ctx: Context, flags: argparse.Namespace) -> int:
-    """Shows what each box that is asked knows."""
-    answers = []
+    """Prints the status of each box in `ctx.urls`."""
+    statuses = []
     code = EXIT_OK
     for url in ctx.urls:
-        one = Context(
+        box_ctx = Context(
             ctx.reactor, ctx.client, [url], ctx.timeout_s, ctx.is_json
         )
         try:
-            response = await one.ask("GET", "/v1/status")
+            response = await box_ctx.request("GET", "/v1/status")
         except ExitError as exc:
             print(f"clayfield: {exc}", file=sys.stderr)
-            code = EXIT_UNREACHED
+            code = EXIT_UNREACHABLE
             continue
         if not response.is_ok:
-            return _tell_problem(ctx, response)
-        answers.append(response.json())
-    ctx.print(answers, "\n".join(map(_status_text, answers)))
+            return _print_problem(ctx, response)
+        statuses.append(response.json())
+    ctx.print(statuses, "\n".join(map(_format_status, statuses)))
     return code
 
 
-def _status_text(seen: dict) -> str:
+def _format_status(box: dict) -> str:
+    """Returns the status of a box as lines of text."""
     head = (
-        f"{seen['box']} in {seen['hall']}:"
-        f" {'ready' if seen['is_ready'] else 'NOT READY'},"
-        f" configuration {seen['config_version']},"
-        f" {seen['open_submissions']} open submissions"
+        f"{box['box']} in {box['hall']}:"
+        f" {'ready' if box['is_ready'] else 'NOT READY'},"
+        f" configuration {box['config_version']},"
+        f" {box['open_submissions']} open submissions"
     )
     lines = [head]
-    for group in seen["groups"]:
+    for group in box["groups"]:
         lines.append(
             f"  {group['group']}: leader {group['leader'] or 'none'},"
             f" term {group['term']}, voters {', '.join(group['voters'])}"
         )
-    for peer in seen["peers"]:
-        state = "live" if peer["is_live"] else "silent"
+    for peer in box["peers"]:
+        state = "live" if peer["is_live"] else "unreachable"
         lines.append(
             f"  peer {peer['box']} in {peer['hall']}: {state},"
             f" configuration {peer['config_version']}"
@@ -234,47 +260,65 @@
 
 
 async def submit(ctx: Context, flags: argparse.Namespace) -> int:
-    """Submits each line of a file; a line holds `key` and the body."""
-    jobs = []
+    """Submits each line of a file and prints the responses.
+
+    A line is a JSON object: the field `key` is the idempotency key, `at_ms` is
+    ignored, and the other fields are the body.
+    """
+    submissions = []
     for number, line in enumerate(read_file(flags.file).splitlines(), 1):
         if line.strip():
-            jobs.append(_read_job(flags.file, number, line))
-    done = [0]
+            submissions.append(_read_submission(flags.file, number, line))
+    completed = [0]
 
     async def send(key: str, body: bytes) -> dict:
-        response = await ctx.ask(
+        response = await ctx.request(
             "POST", "/v1/submissions", body, {"idempotency-key": key}
         )
-        done[0] += 1
-        ctx.progress(f"{done[0]} of {len(jobs)}")
+        completed[0] += 1
+        ctx.progress(f"{completed[0]} of {len(submissions)}")
         return {
             "key": key,
             "status": response.status,
             "body": response.json(),
         }
 
-    results = await gather([send(key, body) for key, body in jobs])
+    results = await gather([send(key, body) for key, body in submissions])
     ctx.progress("")
-    for one in results:
-        ctx.print(one, f"{one['key']} {one['status']} {_short(one['body'])}")
-    failed = [one for one in results if one["status"] != OK]
+    for result in results:
+        ctx.print(
+            result,
+            f"{result['key']} {result['status']} {_summarize(result['body'])}",
+        )
+    failed = [result for result in results if result["status"] != HTTP_OK]
     return EXIT_REFUSED if failed else EXIT_OK
 
 
-def _read_job(name: str, number: int, line: str) -> tuple[str, bytes]:
+def _read_submission(name: str, number: int, line: str) -> tuple[str, bytes]:
+    """Returns the key and the body of a submission.
+
+    Args:
+        name: name of the file, for error messages.
+        number: number of the line in the file.
+        line: the JSON object.
+
+    Raises:
+        ExitError: the line is malformed.
+    """
     try:
-        job = json.loads(line)
-        key = job.pop("key")
+        document = json.loads(line)
+        key = document.pop("key")
     except (ValueError, KeyError, AttributeError, TypeError) as exc:
         raise ExitError(
             EXIT_USAGE,
-            f"{name}:{number}: not a JSON object with a key: {exc!r}",
+            f"{name}:{number}: not a JSON object with a 'key': {exc!r}",
         ) from exc
-    job.pop("at_ms", None)
-    return key, json.dumps(job).encode()
+    document.pop("at_ms", None)
+    return key, json.dumps(document).encode()
 
 
-def _short(body: dict | None) -> str:
+def _summarize(body: dict | None) -> str:
+    """Returns a response body in one line."""
     if not body:
         return ""
     if "answers" in body:
@@ -286,21 +330,22 @@
 
 
 async def watch(ctx: Context, flags: argparse.Namespace) -> int:
-    """Shows versions in force as they change, until it is stopped."""
-    before: dict[str, int] = {}
+    """Prints the version in force by box at each change, until stopped."""
+    previous: dict[str, int] = {}
     while True:
         versions = await _read_versions(ctx)
-        if versions != before:
-            before = versions
+        if versions != previous:
+            previous = versions
             text = " ".join(f"{b}={v}" for b, v in sorted(versions.items()))
             ctx.print(versions, text)
             sys.stdout.flush()
         await task.deferLater(ctx.reactor, WATCH_S)
 
 
-def _tell_problem(
+def _print_problem(
     ctx: Context, response: Response, code: int | None = None
 ) -> int:
+    """Prints an error response and returns the exit code."""
     problem = response.json() or {}
     text = (
         f"{response.status} {problem.get('code', '')}"
--- a/packages/cli/src/clayfield/cli/jobs.py
+++ b/packages/cli/src/clayfield/cli/jobs.py
@@ -1,4 +1,7 @@
-"""Jobs of steps: the commands put, state and cancel."""
+"""Implements the command `job` with the actions put, state and cancel.
+
+A job consists of steps and is submitted to a queue of an entry node.
+"""
 
 import argparse
 from urllib.parse import quote
@@ -17,42 +20,52 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Adds what the command line names beside the settings."""
+    """Adds the arguments of the command `job`."""
     parser.add_argument("action", choices=ACTIONS)
-    parser.add_argument("queue", help="the name of the queue")
-    parser.add_argument("key", help="names the job within its queue")
+    parser.add_argument("queue", help="name of the queue")
+    parser.add_argument("key", help="key of the job within its queue")
     parser.add_argument(
-        "file", nargs="?", default="", help="put: the job as JSON, - for input"
+        "file",
+        nargs="?",
+        default="",
+        help="put: file with the job as JSON, - for standard input",
     )
 
 
 async def job(ctx: Context, flags: argparse.Namespace) -> int:
-    """Puts a job, tells its state or cancels it; the URLs are of entries."""
+    """Submits a job, prints its state or cancels it.
+
+    `ctx.urls` are the URLs of entry nodes.
+    """
     path = f"/v1/queues/{quote(flags.queue)}/jobs/{quote(flags.key)}"
     match flags.action:
         case "put":
-            answer = await ctx.ask("PUT", path, _read_job(flags.file))
+            response = await ctx.request("PUT", path, _read_job(flags.file))
         case "state":
-            answer = await ctx.ask("GET", path)
+            response = await ctx.request("GET", path)
         case _:
-            answer = await ctx.ask("DELETE", path)
-    return _tell(ctx, flags.key, answer)
+            response = await ctx.request("DELETE", path)
+    return _print_result(ctx, flags.key, response)
 
 
 def _read_job(name: str) -> bytes:
     if not name:
-        raise ExitError(EXIT_USAGE, "put: name the file of the job, or -.")
+        raise ExitError(
+            EXIT_USAGE,
+            "put: give the file of the job, or - for standard input.",
+        )
     return read_file(name).encode()
 
 
-def _tell(ctx: Context, key: str, answer: Response) -> int:
-    said = answer.json() or {}
-    if answer.is_ok:
-        word = said.get("verdict") or said.get("state") or "cancelled"
-        ctx.print({"key": key, **said}, f"{key}: {word}")
+def _print_result(ctx: Context, key: str, response: Response) -> int:
+    """Prints the response for a job and returns the exit code."""
+    document = response.json() or {}
+    if response.is_ok:
+        result = document.get("verdict") or document.get("state") or "cancelled"
+        ctx.print({"key": key, **document}, f"{key}: {result}")
         return EXIT_OK
-    detail = said.get("detail") or said.get("title") or answer.status
-    remedy = said.get("remedy", "")
-    text = f"{key}: {said.get('code', '')} {detail}. {remedy}".strip()
-    ctx.print({"key": key, **said}, text)
+    detail = document.get("detail") or document.get("title") or response.status
+    remedy = document.get("remedy", "")
+    text = f"{key}: {document.get('code', '')} {detail}. {remedy}".strip()
+    ctx.print({"key": key, **document}, text)
     return EXIT_REFUSED
--- a/packages/cli/src/clayfield/cli/main.py
+++ b/packages/cli/src/clayfield/cli/main.py
@@ -15,21 +15,21 @@
 EPILOG = """\
 Exit codes:
   0  done
-  1  refused: the file has faults, or a submission failed
-  2  the command line or a setting is wrong
-  3  no box could be reached, or none answered in time
+  1  refused: the file has errors, or a submission failed
+  2  the command line or a setting is invalid
+  3  no box could be reached, or none responded in time
   4  another file was accepted first; merge and apply again
-  5  accepted, but not yet in force on every box that can be reached
+  5  accepted, but not yet in force on every reachable box
 """
 
 COMMANDS = {
     "check": ("check a file without applying it", commands.check),
     "apply": ("apply a file, whole or not at all", commands.apply),
     "show": ("show the configuration in force", commands.show),
-    "status": ("show what each box knows", commands.status),
+    "status": ("show the status of each box", commands.status),
     "submit": ("submit jobs from a file of JSON lines", commands.submit),
-    "job": ("put a job of steps, tell its state or cancel it", jobs.job),
-    "watch": ("show the version in force until stopped", commands.watch),
+    "job": ("submit a job of steps, show its state or cancel it", jobs.job),
+    "watch": ("show the version in force by box until stopped", commands.watch),
 }
 WITH_FILE = ("check", "apply", "submit")
 
@@ -38,7 +38,7 @@
     """Returns the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog="clayfield",
-        description="Operates clayfield and submits work to it.",
+        description="Operates a clayfield system and submits work to it.",
         epilog=EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -48,20 +48,22 @@
         "--output",
         choices=("text", "json"),
         default="text",
-        help="form of the result [text]",
+        help="format of the result [text]",
     )
     subparsers = parser.add_subparsers(dest="command", required=True)
     for name, (text, _) in COMMANDS.items():
         sub = subparsers.add_parser(name, help=text, parents=[common])
         if name in WITH_FILE:
-            sub.add_argument("file", help="the file to read, - for input")
+            sub.add_argument(
+                "file", help="the file to read, - for standard input"
+            )
         if name == "job":
             jobs.add_arguments(sub)
         if name == "apply":
             sub.add_argument(
                 "--wait",
                 action="store_true",
-                help="end when every reachable box has it in force",
+                help="wait until the file is in force on every reachable box",
             )
     return parser
 
@@ -86,6 +88,7 @@
 async def _run_command(
     reactor: object, flags: argparse.Namespace, values: dict
 ) -> None:
+    """Runs the command of the flags and exits with its code."""
     ctx = Context(
         reactor,
         Client(reactor, values["token"], values["authority"]),
@@ -101,7 +104,7 @@
         code = exc.code
     except (error.ConnectError, defer.TimeoutError, OSError) as exc:
         print(f"clayfield: {exc}", file=sys.stderr)
-        code = commands.EXIT_UNREACHED
+        code = commands.EXIT_UNREACHABLE
     raise SystemExit(code)
 
 
--- a/packages/cli/src/clayfield/cli/settings.py
+++ b/packages/cli/src/clayfield/cli/settings.py
@@ -1,4 +1,4 @@
-"""The command line's settings."""
+"""Settings of the command line."""
 
 from clayfield.base.settings import Setting, whole_number
 
@@ -7,14 +7,19 @@
         "box_urls",
         lambda text: [url.rstrip("/") for url in text.split(",") if url],
         "http://127.0.0.1:7301",
-        "URLs of the boxes to ask, separated by commas",
+        "base URLs of the boxes to send requests to, separated by commas",
+    ),
+    Setting("token", str, "", "bearer token of the operator or member"),
+    Setting(
+        "authority",
+        str,
+        "",
+        "file of the authority that signs the boxes' certificates",
     ),
-    Setting("token", str, "", "the operator's or member's bearer token"),
-    Setting("authority", str, "", "file of the certificate that signs boxes"),
     Setting(
         "timeout_s",
         whole_number(1, 3600),
         "30",
-        "longest wait for an answer",
+        "time limit for a response, in seconds",
     ),
 )
