--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real clayfieldd processes on loopback: the interfaces, kills and stops."""
+"""Tests of clayfieldd processes: HTTP interfaces, crashes, planned stops."""
 
 import concurrent.futures
 import http.client
@@ -28,13 +28,13 @@
         yield running
 
 
-def _post(box, key, body, token=TOKEN, **headers):
+def _submit(box, key, body, token=TOKEN, **headers):
     conn = http.client.HTTPConnection("127.0.0.1", box.callers, timeout=30)
-    raw = body if isinstance(body, bytes) else json.dumps(body).encode()
+    data = body if isinstance(body, bytes) else json.dumps(body).encode()
     fields = {"Authorization": f"Bearer {token}", **headers}
     if key is not None:
         fields["Idempotency-Key"] = key
-    conn.request("POST", "/v1/submissions", raw, fields)
+    conn.request("POST", "/v1/submissions", data, fields)
     response = conn.getresponse()
     answer = response.read()
     conn.close()
@@ -75,18 +75,18 @@
         ("k", b"x" * 1_100_000, TOKEN, 413, "CF104"),
     ],
 )
-def test_bad_input_gets_its_typed_error(
+def test_invalid_submission_gets_its_error_code(
     cluster, key, body, token, status, code
 ):
-    got, answer, headers = _post(_box(cluster, 0), key, body, token)
+    got_status, answer, headers = _submit(_box(cluster, 0), key, body, token)
     problem = json.loads(answer)
-    assert (got, problem["code"]) == (status, code)
+    assert (got_status, problem["code"]) == (status, code)
     assert problem["ran"] == "no"
     assert problem["remedy"]
     assert headers["content-type"] == "application/problem+json"
 
 
-def test_a_request_that_stays_unfinished_is_ended(cluster):
+def test_incomplete_request_times_out(cluster):
     conn = http.client.HTTPConnection(
         "127.0.0.1", _box(cluster, 0).callers, timeout=30
     )
@@ -98,50 +98,55 @@
     conn.close()
 
 
-def test_a_resubmission_anywhere_gets_the_same_bytes(cluster):
-    first = _post(_box(cluster, 0), "west-1:same", BODY)
+def test_resubmission_to_any_box_gets_the_same_response(cluster):
+    first = _submit(_box(cluster, 0), "west-1:same", BODY)
     assert first[0] == 200
     assert json.loads(first[1])["answers"] == BODY["tasks"]
     for number in (1, 2):
         assert (
-            _post(_box(cluster, number), "west-1:same", BODY)[:2] == (first[:2])
+            _submit(_box(cluster, number), "west-1:same", BODY)[:2]
+            == (first[:2])
         )
         path = "/v1/submissions/west-1:same"
         assert _get(_box(cluster, number), path) == first[:2]
     other = {**BODY, "tasks": [1]}
-    status, answer, _ = _post(_box(cluster, 1), "west-1:same", other)
+    status, answer, _ = _submit(_box(cluster, 1), "west-1:same", other)
     assert (status, json.loads(answer)["code"]) == (409, "CF109")
 
 
-def test_a_member_never_reads_what_another_submitted(cluster):
-    assert _post(_box(cluster, 0), "west-1:mine", BODY)[0] == 200
+def test_submission_of_another_member_is_not_found(cluster):
+    assert _submit(_box(cluster, 0), "west-1:mine", BODY)[0] == 200
     path = "/v1/submissions/west-1:mine"
     assert _get(_box(cluster, 0), path, "desk-rotterdam")[0] == 404
 
 
-def test_the_command_line_applies_whole_files_or_nothing(
+def test_command_line_applies_valid_files_and_rejects_invalid_ones(
     cluster, tmp_path, capsys
 ):
     url = f"http://127.0.0.1:{_box(cluster, 1).operators}"
     common = ["--box-urls", url, "--token", "operator", "--output", "json"]
     text = pathlib.Path(CONFIG).read_text()
-    sound = tmp_path / "sound.yaml"
-    sound.write_text(text.replace("replaces: 0", "replaces: 1"))
-    faulty = tmp_path / "faulty.yaml"
-    faulty.write_text(text.replace("price: 20", "price: cheap"))
+    valid = tmp_path / "valid.yaml"
+    valid.write_text(text.replace("replaces: 0", "replaces: 1"))
+    invalid = tmp_path / "invalid.yaml"
+    invalid.write_text(text.replace("price: 20", "price: cheap"))
     cases = [
-        (["check", str(faulty)], 1, "faults"),
-        (["apply", str(faulty)], 1, "faults"),
-        (["apply", "--wait", str(sound)], 0, '"version": 2'),
-        (["apply", str(sound)], 0, '"version": 2'),
+        (["check", str(invalid)], 1, "faults"),
+        (["apply", str(invalid)], 1, "faults"),
+        (["apply", "--wait", str(valid)], 0, '"version": 2'),
+        (["apply", str(valid)], 0, '"version": 2'),
         (["apply", CONFIG], 0, '"version": 1'),
         (["show"], 0, '"replaces": 1'),
         (["status"], 0, '"is_ready": true'),
     ]
-    for arguments, code, printed in cases:
-        got = _run_cli([*arguments, *common])
-        assert got.returncode == code, (arguments, got.stdout, got.stderr)
-        assert printed in got.stdout, arguments
+    for arguments, code, output in cases:
+        result = _run_cli([*arguments, *common])
+        assert result.returncode == code, (
+            arguments,
+            result.stdout,
+            result.stderr,
+        )
+        assert output in result.stdout, arguments
 
 
 def _run_cli(arguments):
@@ -149,20 +154,20 @@
     return subprocess.run(command, capture_output=True, text=True)
 
 
-def test_metrics_and_health(cluster):
+def test_metrics_and_health_are_served(cluster):
     box = _box(cluster, 0)
     conn = http.client.HTTPConnection("127.0.0.1", box.operators, timeout=30)
-    for path, part in (
+    for path, content in (
         ("/healthz", b"ok"),
         ("/readyz", b"ready"),
         ("/metrics", b"clayfield_slowdown"),
     ):
         conn.request("GET", path)
-        assert part in conn.getresponse().read()
+        assert content in conn.getresponse().read()
     conn.close()
 
 
-def test_kill_and_planned_stop_lose_and_double_nothing(tmp_path):
+def test_crash_and_planned_stop_neither_lose_nor_repeat_tasks(tmp_path):
     with (
         Cluster(tmp_path, CONFIG, {"west-1": 3}, 3, extra=OPTIONS) as cluster,
         concurrent.futures.ThreadPoolExecutor(40) as pool,
@@ -170,7 +175,8 @@
         slow = {**BODY, "tasks": [{"run_ms": 400}] * 2}
         stopped, killed, other = cluster.boxes.values()
         in_flight = [
-            pool.submit(_post, stopped, f"west-1:s{n}", slow) for n in range(8)
+            pool.submit(_submit, stopped, f"west-1:s{n}", slow)
+            for n in range(8)
         ]
 
         def counts():
@@ -178,30 +184,30 @@
 
         wait_for(lambda: counts()["starts"] >= 16, "all started")
         stopped.begin_stop()
-        assert [one.result()[0] for one in in_flight] == [200] * 8
+        assert [future.result()[0] for future in in_flight] == [200] * 8
         assert stopped.wait() == 0
         stopped.start()
         stopped.wait_ready()
         in_flight = [
-            pool.submit(_post, killed, f"west-1:k{n}", slow) for n in range(8)
+            pool.submit(_submit, killed, f"west-1:k{n}", slow) for n in range(8)
         ]
         wait_for(lambda: counts()["starts"] >= 32, "all started")
         killed.kill()
-        for one in in_flight:
-            assert one.exception() is not None
+        for future in in_flight:
+            assert future.exception() is not None
         for n in range(8):
-            status, answer, _ = _post(other, f"west-1:k{n}", slow)
+            status, answer, _ = _submit(other, f"west-1:k{n}", slow)
             assert status == 502
             assert json.loads(answer)["ran"] == "maybe"
         killed.start()
         killed.wait_ready()
         for n in range(8):
-            assert _post(killed, f"west-1:s{n}", slow)[0] == 200
+            assert _submit(killed, f"west-1:s{n}", slow)[0] == 200
         assert counts()["starts"] == 32
         assert counts()["doubled"] == 0
 
 
-def test_accepted_configurations_survive_a_kill_of_every_box(tmp_path):
+def test_accepted_configurations_survive_a_crash_of_every_box(tmp_path):
     text = pathlib.Path(CONFIG).read_text()
     with Cluster(tmp_path, CONFIG, {"west-1": 3}, 1) as cluster:
         boxes = list(cluster.boxes.values())
@@ -217,11 +223,15 @@
                     box.wait_ready()
             path = tmp_path / f"{version}.yaml"
             path.write_text(text.replace("replaces: 0", f"replaces: {version}"))
-            got = _run_cli(["apply", str(path), *common])
-            assert got.returncode == 0, (version, got.stdout, got.stderr)
+            result = _run_cli(["apply", str(path), *common])
+            assert result.returncode == 0, (
+                version,
+                result.stdout,
+                result.stderr,
+            )
         for version in range(1, 7):
             path = str(tmp_path / f"{version}.yaml")
-            got = _run_cli(["apply", path, *common])
-            assert f"accepted as version {version + 1}" in got.stdout
-        got = _run_cli(["show", "--output", "json", *common])
-        assert json.loads(got.stdout)["replaces"] == 6
+            result = _run_cli(["apply", path, *common])
+            assert f"accepted as version {version + 1}" in result.stdout
+        result = _run_cli(["show", "--output", "json", *common])
+        assert json.loads(result.stdout)["replaces"] == 6
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The data folder after crashes, damage and failures."""
+"""Tests of the data folder after crashes, corruption and write errors."""
 
 import os
 
@@ -13,15 +13,15 @@
 RECORDS = [Born("control@a/1#1"), HardState(1, "a/1"), *ENTRIES]
 
 
-def _filled(folder):
+def _make_log(folder):
     store = Store(str(folder))
     store.write(RECORDS)
     store.close()
     return folder / "log-1"
 
 
-def test_what_was_written_is_read_again(tmp_path):
-    _filled(tmp_path)
+def test_written_records_are_restored_on_opening(tmp_path):
+    _make_log(tmp_path)
     made = Store(str(tmp_path)).made
     state = Store(str(tmp_path)).state
     assert state.instance == "control@a/1#1"
@@ -31,8 +31,8 @@
 
 
 @pytest.mark.parametrize("cut", [1, 5, HEADER.size, HEADER.size + 3])
-def test_an_unfinished_write_at_the_end_is_cut_off(tmp_path, cut):
-    path = _filled(tmp_path)
+def test_incomplete_record_at_the_end_is_truncated(tmp_path, cut):
+    path = _make_log(tmp_path)
     size = path.stat().st_size
     os.truncate(path, size - cut)
     store = Store(str(tmp_path))
@@ -43,8 +43,8 @@
 
 
 @pytest.mark.parametrize("offset", [2, 6, 14, 60])
-def test_damage_in_the_middle_is_refused(tmp_path, offset):
-    path = _filled(tmp_path)
+def test_corruption_before_a_valid_record_is_an_error(tmp_path, offset):
+    path = _make_log(tmp_path)
     data = bytearray(path.read_bytes())
     data[offset] ^= 0x40
     path.write_bytes(data)
@@ -54,8 +54,8 @@
     assert path.read_bytes() == data
 
 
-def test_a_snapshot_starts_a_new_and_short_file(tmp_path):
-    _filled(tmp_path)
+def test_snapshot_replaces_the_log_file(tmp_path):
+    _make_log(tmp_path)
     store = Store(str(tmp_path))
     store.write([Snapshot(4, 1, Members(("a/1",)), b"state")])
     store.close()
@@ -66,10 +66,10 @@
 
 
 @pytest.mark.parametrize("failing", ["write", "fdatasync"])
-def test_a_failed_write_is_told_and_ends_writing(
+def test_write_error_is_raised_by_every_later_write(
     tmp_path, monkeypatch, failing
 ):
-    _filled(tmp_path)
+    _make_log(tmp_path)
     store = Store(str(tmp_path))
 
     def fail(*args):
@@ -82,24 +82,24 @@
         assert info.value.kind is Kind.STORE_FAILED
 
 
-def test_a_log_without_its_mark_is_refused(tmp_path):
-    _filled(tmp_path)
+def test_log_without_identity_file_is_an_error(tmp_path):
+    _make_log(tmp_path)
     (tmp_path / "made").unlink()
     with pytest.raises(ClayfieldError) as info:
         Store(str(tmp_path))
     assert info.value.kind is Kind.STORE_DAMAGED
 
 
-def test_a_gap_between_entries_is_refused(tmp_path):
-    path = _filled(tmp_path)
+def test_gap_between_entries_is_an_error(tmp_path):
+    path = _make_log(tmp_path)
     with open(path, "ab") as file:
         file.write(frame_record(Append(9, LogEntry(1, 0, b""))))
     with pytest.raises(ClayfieldError, match="Entry 9 follows entry 5"):
         Store(str(tmp_path))
 
 
-def test_what_a_box_goes_on_with_is_not_touched_by_writes(tmp_path):
-    _filled(tmp_path)
+def test_writes_do_not_change_the_restored_state(tmp_path):
+    _make_log(tmp_path)
     store = Store(str(tmp_path))
     state = store.state
     state.log.put(6, LogEntry(1, 0, b"six"))
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, and the traceparent that workers get."""
+"""Tests of the spans of a submission and of trace propagation."""
 
 import random
 
@@ -16,7 +16,7 @@
 UNSAMPLED = f"00-{TRACE}-b7ad6b7169203331-00"
 
 
-def _run(tracing, parent):
+def _trace_submission(tracing, parent):
     traceparent = tracing.begin("k", parent)
     req = JobRequest("m", "k", b"", "s", "p", [b"1"], traceparent=traceparent)
     sub = Submission(1, "m/k", b"d", req, 100.0)
@@ -24,11 +24,11 @@
     sub.claimed_ms = 101.0
     sub.granted_ms = 102.0
     start = StartTask(7, "w", 1, 0, 1, "p", 1000.0, b"1", traceparent)
-    to_worker = tracing.on_start(start)
+    worker_traceparent = tracing.on_start(start)
     tracing.on_task_end(7, TaskEnd.ANSWERED)
     tracing.on_finished(sub, Outcome(200, b""))
     tracing.close()
-    return to_worker
+    return worker_traceparent
 
 
 @pytest.mark.parametrize(
@@ -40,23 +40,25 @@
         ("", 0, []),
     ],
 )
-def test_every_hop_has_a_span_in_the_callers_trace(parent, percent, names):
+def test_sampled_submission_has_spans_in_the_trace_of_its_caller(
+    parent, percent, names
+):
     exporter = InMemorySpanExporter()
     tracing = Tracing("box", exporter, percent, random.Random(1))
-    to_worker = _run(tracing, parent)
+    worker_traceparent = _trace_submission(tracing, parent)
     spans = exporter.get_finished_spans()
     assert [span.name for span in spans] == names
     if names:
         root = spans[-1].context
         assert all(s.parent.span_id == root.span_id for s in spans[:-1])
         task = spans[0].context
-        assert to_worker.split("-")[2] == f"{task.span_id:016x}"
+        assert worker_traceparent.split("-")[2] == f"{task.span_id:016x}"
     else:
-        assert to_worker == parent
+        assert worker_traceparent == parent
     if parent:
-        assert to_worker.split("-")[1] == TRACE
+        assert worker_traceparent.split("-")[1] == TRACE
 
 
-def test_without_an_exporter_the_traceparent_passes_through():
+def test_traceparent_is_forwarded_unchanged_without_exporter():
     tracing = Tracing("box", None, 100, random.Random(1))
-    assert _run(tracing, SAMPLED) == SAMPLED
+    assert _trace_submission(tracing, SAMPLED) == SAMPLED
