--- a/packages/cli/src/clayfield/cli/__init__.py
+++ b/packages/cli/src/clayfield/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The clayfield command line, for operators and callers."""
+"""The clayfield command line for operators and callers."""
--- a/packages/cli/src/clayfield/cli/main.py
+++ b/packages/cli/src/clayfield/cli/main.py
@@ -23,8 +23,11 @@
 """
 
 COMMANDS = {
-    "check": ("check a file without applying it", commands.check),
-    "apply": ("apply a file, whole or not at all", commands.apply),
+    "check": ("check a configuration file without applying it", commands.check),
+    "apply": (
+        "apply a configuration file, all of it or nothing",
+        commands.apply,
+    ),
     "show": ("show the configuration in force", commands.show),
     "status": ("show the status of each box", commands.status),
     "submit": ("submit jobs from a file of JSON lines", commands.submit),
--- a/packages/daemon/src/clayfield/daemon/http.py
+++ b/packages/daemon/src/clayfield/daemon/http.py
@@ -151,7 +151,7 @@
         return channel
 
     def log(self, request: http.Request) -> None:
-        """Writes no access log; metrics and traces cover the requests."""
+        """Writes no access log; requests are covered by metrics and traces."""
 
 
 class Endpoint(resource.Resource):
--- a/packages/daemon/src/clayfield/daemon/runtime.py
+++ b/packages/daemon/src/clayfield/daemon/runtime.py
@@ -151,7 +151,7 @@
     # Events passed to the state machine.
 
     def kick(self) -> None:
-        """Schedules the pending actions to run once control returns."""
+        """Schedules the pending actions for the reactor's next turn."""
         if not self._are_actions_scheduled:
             self._are_actions_scheduled = True
             self._reactor.callLater(0, self._run_actions)
@@ -242,7 +242,7 @@
     # Periodic checks.
 
     def _check_status(self) -> None:
-        """Logs readiness and leadership changes; applies the first file."""
+        """Logs changes of readiness and leadership; applies --first-config."""
         if self.core.is_ready != self._was_ready:
             self._was_ready = self.core.is_ready
             emit(Event.READY if self._was_ready else Event.NOT_READY)
--- a/packages/daemon/src/clayfield/daemon/workers.py
+++ b/packages/daemon/src/clayfield/daemon/workers.py
@@ -149,7 +149,7 @@
         self._finish(end, body)
 
     def _classify(self, status: int, body: bytes) -> TaskEnd:
-        """Returns the task's outcome that a response stands for."""
+        """Returns the outcome of the task that a response reports."""
         if status == HTTP_OK:
             return TaskEnd.ANSWERED if _is_valid_json(body) else TaskEnd.FAILED
         did_not_start = self._headers.get(STARTED_HEADER) == b"no"
