--- a/packages/testbed/src/clayfield/testbed/controlsite.py
+++ b/packages/testbed/src/clayfield/testbed/controlsite.py
@@ -1,8 +1,9 @@
-"""Control nodes and entries' statuses on a manual clock.
+"""Simulates a group of control nodes on a manual clock.
 
-Messages take a fixed time and are lost between nodes that are cut apart.
-Records count as stored when the node is told so, here at once; a disk can be
-lost, and a node can be killed and started again.
+Control nodes vote in the replicated control log. Messages take a fixed time
+and are lost between partitioned nodes; records are persisted at once. Tests
+can kill and start nodes, delete their disks and send the statuses that entry
+nodes would report.
 """
 
 import random
@@ -33,11 +34,13 @@
     """Control nodes, their disks and the links between them.
 
     Attributes:
-        clock: of all of them.
-        nodes: those that run, by address.
-        settled: by request what became of a write.
-        grants: every grant that a node published, by epoch.
-        configs: by address the versions that a node published, in order.
+        clock: the manual clock that all of them share.
+        nodes: the running nodes, by address.
+        settled: the outcome of each write, by request.
+        grants: every grant that a node broadcast, by epoch.
+        configs: the configuration versions that a node broadcast, in order,
+            by address.
+        first: the addresses of the initial nodes.
     """
 
     def __init__(self, count: int, seed: int):
@@ -48,29 +51,29 @@
         self.configs: dict[str, list[int]] = {}
         self._rng = random.Random(seed)
         self._disks: dict[str, list[Record]] = {}
-        self._stores: dict[str, int] = {}
-        self._stores_made = 0
-        self._cut: set[str] = set()
-        self._entries: dict[str, str] = {}
+        self._disk_ids: dict[str, int] = {}
+        self._last_disk_id = 0
+        self._partitioned: set[str] = set()
+        self._entry_halls: dict[str, str] = {}
         self._statuses: dict[str, EntryStatus] = {}
         self.first = tuple(f"10.0.{n}.1:{PORT}" for n in range(count))
         voters = tuple(node_name(address, 0) for address in self.first)
         for address in self.first:
             self._disks[address] = list(first_records(voters))
-            self._stores[address] = 0
+            self._disk_ids[address] = 0
         for address in self.first:
             self.start(address)
 
-    # What tests do.
+    # Actions of tests.
 
     def start(self, address: str) -> None:
-        """Starts a node from its disk; one without a disk gets an empty one."""
+        """Starts a node from its disk, or from a new empty disk if lost."""
         if address not in self._disks:
-            self._stores_made += 1
+            self._last_disk_id += 1
             self._disks[address] = []
-            self._stores[address] = self._stores_made
+            self._disk_ids[address] = self._last_disk_id
         node = ControlNode(
-            node_name(address, self._stores[address]),
+            node_name(address, self._disk_ids[address]),
             self.clock,
             random.Random(self._rng.random()),
             replay(self._disks[address]),
@@ -80,9 +83,9 @@
         self.nodes[address] = node
         node.learn_addresses(self.first)
         for other in self.nodes.values():
-            if other is not node and not self._is_cut(address, other):
+            if other is not node and not self._is_partitioned(address, other):
                 self._connect(node, other)
-        for entry, hall in self._entries.items():
+        for entry, hall in self._entry_halls.items():
             node.on_open(NodeGreeting("test", entry, "entry", hall))
         self._tick(address, node)
 
@@ -91,109 +94,123 @@
         other.on_open(_greeting(node))
 
     def kill(self, address: str) -> None:
-        """Ends a node's process."""
-        gone = self.nodes.pop(address)
+        """Ends the process of a node."""
+        killed = self.nodes.pop(address)
         for other in self.nodes.values():
-            other.on_closed(gone.node)
+            other.on_closed(killed.node)
 
     def wipe(self, address: str) -> None:
-        """Loses a disk; the node must not run."""
+        """Deletes the disk of a node that is not running."""
         del self._disks[address]
 
     def cut_off(self, address: str) -> None:
-        """Cuts a node off from the other control nodes."""
-        self._cut.add(address)
-        lone = self.nodes[address]
+        """Partitions a node from the other control nodes."""
+        self._partitioned.add(address)
+        node = self.nodes[address]
         for other in self.nodes.values():
-            if other is not lone:
-                other.on_closed(lone.node)
-                lone.on_closed(other.node)
+            if other is not node:
+                other.on_closed(node.node)
+                node.on_closed(other.node)
 
     def heal(self, address: str) -> None:
-        """Joins a node with the others again."""
-        self._cut.discard(address)
-        lone = self.nodes[address]
+        """Ends the partition of a node."""
+        self._partitioned.discard(address)
+        node = self.nodes[address]
         for other in self.nodes.values():
-            if other is not lone:
-                self._connect(lone, other)
+            if other is not node:
+                self._connect(node, other)
 
     def add_entry(self, entry: str, hall: str) -> None:
-        """Connects an entry to every node."""
-        self._entries[entry] = hall
+        """Connects an entry node to every control node."""
+        self._entry_halls[entry] = hall
         self._statuses[entry] = EntryStatus(0, 0, False)
         for node in self.nodes.values():
             node.on_open(NodeGreeting("test", entry, "entry", hall))
 
     def remove_entry(self, entry: str) -> None:
-        """Ends an entry."""
-        del self._entries[entry]
+        """Disconnects an entry node from every control node."""
+        del self._entry_halls[entry]
         del self._statuses[entry]
         for node in self.nodes.values():
             node.on_closed(entry)
 
     def tell_status(self, entry: str, status: EntryStatus) -> None:
-        """Has an entry tell its status."""
+        """Sends the status of an entry node to every control node."""
         for node in self.nodes.values():
             node.on_message(entry, status)
 
     def leader(self) -> ControlNode | None:
-        """Returns the node that surely leads, if any."""
-        sure = [node for node in self.nodes.values() if node.is_sure]
-        return sure[0] if sure else None
+        """Returns the leader whose state is current, if any."""
+        leaders = [node for node in self.nodes.values() if node.is_sure]
+        return leaders[0] if leaders else None
 
     def write(self, request: int, version: int) -> bool:
-        """Has the leader take a configuration; False where there is none."""
+        """Writes a configuration at the leader.
+
+        Args:
+            request: the number of the write.
+            version: the version of the configuration.
+
+        Returns:
+            Whether the leader accepted it; False if there is no leader.
+        """
         leader = self.leader()
         if leader is None:
             return False
-        taken = leader.write(request, version, b"document-%d" % version)
-        self._carry_out(box_of(leader.node), leader)
-        return taken
+        is_accepted = leader.write(request, version, b"document-%d" % version)
+        self._run_actions(box_of(leader.node), leader)
+        return is_accepted
 
     # Links.
 
-    def _is_cut(self, address: str, other: ControlNode) -> bool:
-        return address in self._cut or box_of(other.node) in self._cut
+    def _is_partitioned(self, address: str, other: ControlNode) -> bool:
+        return (
+            address in self._partitioned
+            or box_of(other.node) in self._partitioned
+        )
 
     def _tick(self, address: str, node: ControlNode) -> None:
         if self.nodes.get(address) is not node:
             return
         node.tick()
-        self._carry_out(address, node)
+        self._run_actions(address, node)
         self.after(TICK_MS, lambda: self._tick(address, node))
 
-    def _carry_out(self, address: str, node: ControlNode) -> None:
+    def _run_actions(self, address: str, node: ControlNode) -> None:
         for action in node.take_actions():
             match action:
                 case Send(node=to, message=message):
                     self._send(address, node, to, message)
                 case Publish(message=Grant() as grant):
                     self.grants[grant.epoch] = grant
-                    self._follow(grant)
+                    self._report_epoch(grant)
                 case Publish():
-                    self._note_config(address, node)
+                    self._record_version(address, node)
                 case Persist():
-                    self._store(address, node, action)
+                    self._persist(address, node, action)
                 case Settled(request=request, outcome=outcome):
                     self.settled[request] = outcome
 
-    def _follow(self, grant: Grant) -> None:
-        """Has the entries tell that they know a grant."""
-        for entry in self._entries:
+    def _report_epoch(self, grant: Grant) -> None:
+        """Makes every entry node report the epoch of a grant."""
+        for entry in self._entry_halls:
             status = EntryStatus(0, grant.epoch, False)
             self._statuses[entry] = status
-            self.after(DELAY_MS, lambda e=entry, s=status: self._tell(e, s))
+            self.after(DELAY_MS, lambda e=entry, s=status: self._report(e, s))
 
-    def _tell(self, entry: str, status: EntryStatus) -> None:
-        if entry in self._entries:
+    def _report(self, entry: str, status: EntryStatus) -> None:
+        if entry in self._entry_halls:
             self.tell_status(entry, status)
 
-    def _note_config(self, address: str, node: ControlNode) -> None:
+    def _record_version(self, address: str, node: ControlNode) -> None:
         versions = self.configs.setdefault(address, [])
         if not versions or versions[-1] != node.state.version:
             versions.append(node.state.version)
 
-    def _store(self, address: str, node: ControlNode, action: Persist) -> None:
+    def _persist(
+        self, address: str, node: ControlNode, action: Persist
+    ) -> None:
+        """Persists records at once and sends the messages that follow them."""
         self._disks[address] += action.records
         for message in action.messages:
             self._send(address, node, message.to, message)
@@ -208,10 +225,10 @@
                 return
             if self.nodes.get(address) is not node:
                 return
-            if self._is_cut(address, receiver):
+            if self._is_partitioned(address, receiver):
                 return
             receiver.on_message(node.node, message)
-            self._carry_out(box_of(to), receiver)
+            self._run_actions(box_of(to), receiver)
 
         self.after(DELAY_MS, arrive)
 
--- a/packages/testbed/src/clayfield/testbed/fakeadvisor.py
+++ b/packages/testbed/src/clayfield/testbed/fakeadvisor.py
@@ -1,7 +1,9 @@
-"""The advisor of a pool, for tests: which workers may run which steps.
+"""A fake advisor, for tests.
 
-It answers one question after the other, takes time for each worker that it is
-asked about, and can be busy. Its tickets hold for a while.
+The advisor is an outside service that returns tickets: which workers may run a
+step of an advised job. The fake handles one request at a time, takes longer
+the more workers a request names, and can reject requests as busy. Its tickets
+expire.
 """
 
 import random
@@ -11,21 +13,21 @@
 from clayfield.base import Clock
 from clayfield.pool import Advice, AskAdvisor, StartRun
 
-DECIDE_MS = 5.0
-PERIOD_MS = 1.0
-VALID_MS = 800.0
-GOOD_SHARE = 0.5
+BASE_DELAY_MS = 5.0
+DELAY_PER_WORKER_MS = 1.0
+TICKET_VALID_MS = 800.0
+ALLOWED_SHARE = 0.5
 
-Answer = Callable[[Advice], None]
+Reply = Callable[[Advice], None]
 
 
 class FakeAdvisor:
-    """Decides by lot, once for each step and worker.
+    """Decides at random, once for each step and worker.
 
     Attributes:
-        is_busy: whether it answers every question so.
-        asked: how many questions it answered.
-        rejected: how many starts came without a ticket that holds.
+        is_busy: whether it rejects every request as busy.
+        asked: number of requests answered.
+        rejected: number of starts without a valid ticket.
     """
 
     def __init__(
@@ -40,54 +42,56 @@
         self._clock = clock
         self._after = after
         self._rng = rng
-        self._waiting: deque[tuple[AskAdvisor, Answer]] = deque()
-        self._verdicts: dict[tuple[str, int, int, str], bool] = {}
-        self._tickets: dict[str, float] = {}
+        self._queue: deque[tuple[AskAdvisor, Reply]] = deque()
+        self._decisions: dict[tuple[str, int, int, str], bool] = {}
+        self._expiry_ms: dict[str, float] = {}
 
-    def ask(self, question: AskAdvisor, answer: Answer) -> None:
-        """Takes a question; answers it in its turn."""
+    def ask(self, request: AskAdvisor, reply: Reply) -> None:
+        """Queues a request; `reply` is called with its tickets."""
         if self.is_busy:
-            answer(Advice(False))
+            reply(Advice(False))
             return
-        self._waiting.append((question, answer))
-        if len(self._waiting) == 1:
+        self._queue.append((request, reply))
+        if len(self._queue) == 1:
             self._begin()
 
     def _begin(self) -> None:
-        question, _ = self._waiting[0]
-        took_ms = DECIDE_MS + PERIOD_MS * len(question.workers)
-        self._after(took_ms, self._finish)
+        request, _ = self._queue[0]
+        duration_ms = BASE_DELAY_MS + DELAY_PER_WORKER_MS * len(request.workers)
+        self._after(duration_ms, self._finish)
 
     def _finish(self) -> None:
-        question, answer = self._waiting.popleft()
+        request, reply = self._queue.popleft()
         self.asked += 1
         tickets = {
-            name: self._ticket(question, name)
-            for name in question.workers
-            if self._is_good(question, name)
+            name: self._make_ticket(request, name)
+            for name in request.workers
+            if self._is_allowed(request, name)
         }
-        answer(Advice(True, tickets, VALID_MS))
-        if self._waiting:
+        reply(Advice(True, tickets, TICKET_VALID_MS))
+        if self._queue:
             self._begin()
 
-    def _is_good(self, question: AskAdvisor, worker: str) -> bool:
-        key = (question.job, question.time, question.step, worker)
-        if key not in self._verdicts:
-            self._verdicts[key] = self._rng.random() < GOOD_SHARE
-        return self._verdicts[key]
+    def _is_allowed(self, request: AskAdvisor, worker: str) -> bool:
+        """Returns whether a worker may run a step."""
+        key = (request.job, request.time, request.step, worker)
+        if key not in self._decisions:
+            self._decisions[key] = self._rng.random() < ALLOWED_SHARE
+        return self._decisions[key]
 
-    def _ticket(self, question: AskAdvisor, worker: str) -> str:
-        numbers = f"{question.time}/{question.step}/{worker}"
-        ticket = f"{question.job}/{numbers}/{self.asked}"
-        self._tickets[ticket] = self._clock.now_ms() + VALID_MS
+    def _make_ticket(self, request: AskAdvisor, worker: str) -> str:
+        """Returns a new ticket, which starts with the task and worker."""
+        numbers = f"{request.time}/{request.step}/{worker}"
+        ticket = f"{request.job}/{numbers}/{self.asked}"
+        self._expiry_ms[ticket] = self._clock.now_ms() + TICKET_VALID_MS
         return ticket
 
-    def accepts(self, order: StartRun) -> bool:
-        """Tells whether a start brings a ticket that holds for it."""
-        task_id = order.task_id
-        wanted = f"{task_id.job}/{task_id.time}/{task_id.step}/{order.worker}/"
-        is_sound = order.ticket.startswith(
-            wanted
-        ) and self._clock.now_ms() <= self._tickets.get(order.ticket, 0.0)
-        self.rejected += not is_sound
-        return is_sound
+    def accepts(self, start: StartRun) -> bool:
+        """Returns whether a start has a valid ticket for its worker."""
+        task_id = start.task_id
+        prefix = f"{task_id.job}/{task_id.time}/{task_id.step}/{start.worker}/"
+        is_valid = start.ticket.startswith(
+            prefix
+        ) and self._clock.now_ms() <= self._expiry_ms.get(start.ticket, 0.0)
+        self.rejected += not is_valid
+        return is_valid
--- a/packages/testbed/src/clayfield/testbed/fakeleader.py
+++ b/packages/testbed/src/clayfield/testbed/fakeleader.py
@@ -1,7 +1,8 @@
-"""The leader of the control log as the holder sees it, for tests of pools.
+"""A fake leader of the control nodes, for tests of entry nodes and workers.
 
-It keeps the real record of kept jobs and commits after a fixed time. It can be
-silent, and it can stand in another hall: the state is replicated.
+It has the real replicated state with the job store (the record of kept jobs)
+and commits every write after a fixed time. Tests can make it unresponsive or
+move it to another hall, where it still has the same state.
 """
 
 from collections.abc import Callable
@@ -30,13 +31,13 @@
 
 
 class FakeLeader:
-    """Commits what the holder in force writes.
+    """Serves the job store to the holder of the current grant.
 
     Attributes:
-        hall: where it stands.
-        is_silent: whether it commits and answers nothing.
-        commit_ms: how long a write takes.
-        cut_off: the nodes that cannot reach it.
+        hall: the hall it is in.
+        is_silent: whether it ignores all messages and commits nothing.
+        commit_ms: duration of a commit, in ms.
+        cut_off: names of the nodes that cannot reach it.
         state: the replicated state.
     """
 
@@ -47,19 +48,19 @@
         self.cut_off: set[str] = set()
         self.state = ControlState(clock)
         self._after = after
-        self._send_decoded = send
+        self._send_copy = send
 
     @property
     def node(self) -> str:
-        """Its name."""
+        """The node name of the leader."""
         return f"control-{self.hall}/1"
 
     def on_grant(self, grant: Grant) -> None:
-        """Puts a grant in force."""
+        """Makes a grant the current one."""
         self.state.grant = grant
 
     def on_message(self, node: str, message: Message) -> None:
-        """Takes a message of an entry."""
+        """Handles a message of an entry node."""
         if self.is_silent or node in self.cut_off:
             return
         match message:
@@ -68,19 +69,19 @@
                     self._send(node, HolderLease(epoch, sent_ms))
             case LoadJobs(epoch=epoch, request=request):
                 if self._is_holder(node, epoch):
-                    self._send(node, self._all_jobs(request))
+                    self._send(node, self._make_jobs_loaded(request))
             case WriteJobs():
                 self._after(self.commit_ms, lambda: self._commit(node, message))
 
     def _send(self, node: str, message: Message) -> None:
-        """Sends a copy, as a stream would."""
-        self._send_decoded(node, decode_batch(encode_batch([message]))[0])
+        """Sends a message after a round trip through the wire format."""
+        self._send_copy(node, decode_batch(encode_batch([message]))[0])
 
     def _is_holder(self, node: str, epoch: int) -> bool:
         grant = self.state.grant
         return node == grant.holder and epoch == grant.epoch
 
-    def _all_jobs(self, request: int) -> JobsLoaded:
+    def _make_jobs_loaded(self, request: int) -> JobsLoaded:
         jobs = self.state.jobs
         return JobsLoaded(request, 0, True, jobs.open_jobs(), jobs.ended())
 
--- a/packages/testbed/src/clayfield/testbed/fakeworker.py
+++ b/packages/testbed/src/clayfield/testbed/fakeworker.py
@@ -1,7 +1,8 @@
-"""A worker of a pool that keeps the promises of its protocol, for tests.
+"""A fake worker that follows the worker protocol, for tests.
 
-It can fail, stand still, leave orders unanswered and carry them out late. What
-it ran is recorded at its site.
+It checks fencing tokens, leases, run numbers and tickets as a real worker
+does. Tests can make its tasks fail or hang. Every run is recorded at the site
+of the worker.
 """
 
 import functools
@@ -26,43 +27,43 @@
 from clayfield.wire.jobs import WorkerInfo
 
 LEASE_MS = 1000.0
-STOP_MS = 50.0
+STOP_DELAY_MS = 50.0
 GANG_TIMEOUT_MS = 3000.0
-PACE_MS = 100.0
-CALM_TAIL_MS = 50.0
+THROTTLE_DELAY_MS = 100.0
+IDLE_TAIL_MS = 50.0
 PLACE_CPU = 6800
 
 
 def write_checkpoint(task_id: TaskId, done_ms: float) -> str:
-    """Returns a checkpoint of a task."""
+    """Returns the checkpoint of a task after `done_ms` of work."""
     numbers = f"{task_id.time}/{task_id.step}/{task_id.index}"
     return f"{task_id.job}/{numbers}/{done_ms}"
 
 
 def read_checkpoint(text: str, task_id: TaskId) -> float:
-    """Returns the work that a checkpoint tells of, in ms.
+    """Returns the work done up to a checkpoint, in ms.
 
     Raises:
-        ValueError: it is another task's.
+        ValueError: the checkpoint belongs to another task.
     """
     start, _, done_ms = text.rpartition("/")
     if start != write_checkpoint(task_id, 0.0).rpartition("/")[0]:
-        raise ValueError(f"{text} is not of {task_id}")
+        raise ValueError(f"checkpoint {text!r} does not belong to {task_id}")
     return float(done_ms)
 
 
 class WorkerSite(Protocol):
-    """Where a worker stands, and what is recorded there.
+    """The surroundings of a fake worker: clock, advisor and records.
 
     Attributes:
-        clock: the worker's.
-        rng: spreads how long tasks take.
-        ran: every run that was carried out.
-        over_room: tasks that were started on a full worker.
-        gangs: the gangs at work or waiting, by job and step.
-        advised: the keys of jobs that need the advisor's ticket.
-        advisor: who gives tickets.
-        filling: the keys of jobs that fill.
+        clock: the clock of the worker.
+        rng: varies the duration of tasks.
+        ran: every run that a worker executed.
+        over_room: the tasks that were started on a worker without free CPU.
+        gangs: the gangs, by job and step.
+        advised: keys of the jobs that need a ticket of the advisor.
+        advisor: checks the tickets of starts.
+        filling: keys of the jobs with batch tasks.
     """
 
     clock: Clock
@@ -74,15 +75,15 @@
     advisor: FakeAdvisor
     filling: set[str]
 
-    def after(self, delay_ms: float, act: Callable[[], None]) -> None:
-        """Has something happen later."""
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Schedules a call after a delay."""
 
 
 class FakeGang:
-    """The tasks of a gang, as the machines that run them know it.
+    """A gang: tasks that must all run at the same time.
 
     Attributes:
-        size: how many tasks it has.
+        size: number of tasks in the gang.
     """
 
     def __init__(self, size: int):
@@ -90,30 +91,30 @@
         self._present: dict[int, list[tuple[FakeWorker, RanTask]]] = {}
 
     def join(self, worker: "FakeWorker", ran: "RanTask") -> bool:
-        """Takes a task of a run; returns whether all are present."""
+        """Adds a task of a run; returns whether all tasks have started."""
         members = self._present.setdefault(ran.number, [])
         members.append((worker, ran))
         return len(members) == self.size
 
     def members(self, number: int) -> list[tuple["FakeWorker", "RanTask"]]:
-        """Returns the tasks of a run that were present."""
+        """Returns the tasks that started in a run, with their workers."""
         return list(self._present.get(number, ()))
 
 
 class RanTask:
-    """A run that a worker carried out.
+    """A run that a worker executed.
 
     Attributes:
         task_id: the task.
-        number: of the run.
-        worker: where.
-        start_ms: when it began.
-        end_ms: when it ended, None while it runs.
-        kind: how it ended.
-        from_ms: the work that was done in runs before, as its checkpoint said.
-        percent: the share of its full pace at which it works.
-        is_noted: whether the worker was told to forget its end, and its lease
-            had not lapsed before.
+        number: the number of the run.
+        worker: name of the worker.
+        start_ms: time of the start.
+        end_ms: time of the end, None while it runs.
+        kind: how it ended, None while it runs.
+        from_ms: work done by earlier runs according to the checkpoint, in ms.
+        percent: speed of the run, in percent of its full speed.
+        is_noted: whether its end was acknowledged before the worker's lease
+            expired.
     """
 
     __slots__ = (
@@ -143,19 +144,20 @@
 
 
 class FakeWorker:
-    """A worker that keeps the promises of its protocol.
+    """A worker that follows the worker protocol.
 
     Attributes:
-        info: what it says of itself.
-        task_ms: how long a task takes here.
-        spread: by which part of that time tasks differ.
-        late_share: share of starts left unanswered and carried out late.
+        info: its description, as announced in heartbeats.
+        task_ms: mean duration of a task, in ms.
+        spread: largest relative deviation from that duration.
+        late_share: share of the start requests that get no reply and are
+            executed late.
         is_failing: whether every task fails.
-        is_hanging: whether tasks stand still.
-        is_gone: whether another life answers at its address.
-        disturb_ms: by how much a task that fills, at its full pace, lengthens
-            the tail of those that serve.
-        is_guarding: whether it rejects what does not fit.
+        is_hanging: whether tasks never end.
+        is_gone: whether another incarnation answers at its address.
+        disturb_ms: by how much one batch task at full speed raises the tail
+            latency of the latency-sensitive tasks, in ms.
+        is_guarding: whether it rejects a start without enough free CPU.
     """
 
     def __init__(self, site: WorkerSite, info: WorkerInfo, task_ms: float):
@@ -172,80 +174,83 @@
         self._fence = 0
         self._lease_until_ms = 0.0
         self._running: dict[TaskId, RanTask] = {}
-        self._highest: dict[TaskId, int] = {}
+        self._last_numbers: dict[TaskId, int] = {}
         self._ended: list[EndedRow] = []
-        self._unnoted: dict[int, RanTask] = {}
+        self._unacked: dict[int, RanTask] = {}
         self._sequence = 0
-        self._waiting: list[Callable[[], None]] = []
+        self._pending_polls: list[Callable[[], None]] = []
 
-    def start(self, order: StartRun) -> OrderResult:
-        """Starts a run, unless something speaks against it."""
-        if order.fence < self._fence:
+    def start(self, request: StartRun) -> OrderResult:
+        """Returns the result of a start request."""
+        if request.fence < self._fence:
             return OrderResult.FENCED
-        self._fence = order.fence
-        if order.lease_until_ms <= self._site.clock.now_ms():
+        self._fence = request.fence
+        if request.lease_until_ms <= self._site.clock.now_ms():
             return OrderResult.TOO_LATE
-        self._renew(order.lease_until_ms)
-        running = self._running.get(order.task_id)
-        if running and running.number == order.number:
+        self._renew(request.lease_until_ms)
+        running = self._running.get(request.task_id)
+        if running and running.number == request.number:
             return OrderResult.DONE
-        is_advised = order.task_id.job in self._site.advised
-        if is_advised and not self._site.advisor.accepts(order):
+        is_advised = request.task_id.job in self._site.advised
+        if is_advised and not self._site.advisor.accepts(request):
             return OrderResult.NO_TICKET
-        if self._highest.get(order.task_id, 0) >= order.number:
+        if self._last_numbers.get(request.task_id, 0) >= request.number:
             return OrderResult.OLD_RUN
-        if not self._has_room(order.task_id):
+        if not self._has_capacity(request.task_id):
             if self.is_guarding:
                 return OrderResult.NO_ROOM
-            self._site.over_room.append(order.task_id)
-        self._begin(order)
+            self._site.over_room.append(request.task_id)
+        self._begin(request)
         return OrderResult.DONE
 
-    def _has_room(self, task_id: TaskId) -> bool:
+    def _has_capacity(self, task_id: TaskId) -> bool:
         filling = self._site.filling
         if task_id.job in filling:
             return True
-        placed = sum(one.job not in filling for one in self._running)
+        placed = sum(running.job not in filling for running in self._running)
         return (placed + 1) * PLACE_CPU <= self.info.cpu
 
-    def _begin(self, order: StartRun) -> None:
+    def _begin(self, request: StartRun) -> None:
+        """Records a new run and schedules its end."""
         now_ms = self._site.clock.now_ms()
-        ran = RanTask(order.task_id, order.number, self.info.name, now_ms)
-        self._running[order.task_id] = ran
-        self._highest[order.task_id] = order.number
+        ran = RanTask(request.task_id, request.number, self.info.name, now_ms)
+        self._running[request.task_id] = ran
+        self._last_numbers[request.task_id] = request.number
         self._site.ran.append(ran)
-        if order.checkpoint:
-            ran.from_ms = read_checkpoint(order.checkpoint, order.task_id)
+        if request.checkpoint:
+            ran.from_ms = read_checkpoint(request.checkpoint, request.task_id)
         kind = EndKind.FAILED if self.is_failing else EndKind.DONE
         spread = self._site.rng.uniform(1 - self.spread, 1 + self.spread)
-        gang = self._site.gangs.get((order.task_id.job, order.task_id.step))
+        gang = self._site.gangs.get((request.task_id.job, request.task_id.step))
         if gang:
-            self._join(gang, ran, kind)
+            self._join_gang(gang, ran, kind)
         elif not self.is_hanging:
             took_ms = max(0.0, self.task_ms * spread - ran.from_ms)
             self._site.after(took_ms, lambda: self._end(ran, kind))
 
-    def _join(self, gang: FakeGang, ran: RanTask, kind: EndKind) -> None:
-        """Begins to work once all tasks of the run are present."""
+    def _join_gang(self, gang: FakeGang, ran: RanTask, kind: EndKind) -> None:
+        """Schedules the end of all tasks of a gang once all have started."""
         if not gang.join(self, ran):
-            alone = functools.partial(self._end_alone, gang, ran)
-            self._site.after(GANG_TIMEOUT_MS, alone)
+            expire = functools.partial(self._end_alone, gang, ran)
+            self._site.after(GANG_TIMEOUT_MS, expire)
             return
         for worker, member in gang.members(ran.number):
             end = functools.partial(worker._end, member, kind)
             self._site.after(self.task_ms, end)
 
     def _end_alone(self, gang: FakeGang, ran: RanTask) -> None:
+        """Ends a run of a gang whose other tasks have not all started."""
         if len(gang.members(ran.number)) < gang.size:
             self._end(ran, EndKind.ALONE)
 
     def _break_gang(self, ran: RanTask) -> None:
-        """Ends the others of a gang of which one has ended badly."""
+        """Ends the other tasks of a gang after one of them did not succeed."""
         gang = self._site.gangs.get((ran.task_id.job, ran.task_id.step))
         for worker, member in gang.members(ran.number) if gang else ():
             worker._end(member, EndKind.BROKEN)
 
     def _end(self, ran: RanTask, kind: EndKind) -> None:
+        """Ends a run, if it is running, and replies to the pending polls."""
         if self._running.get(ran.task_id) is not ran:
             return
         del self._running[ran.task_id]
@@ -261,78 +266,87 @@
                 self._checkpoint(ran),
             )
         )
-        self._unnoted[self._sequence] = ran
-        waiting = self._waiting
-        self._waiting = []
-        for answer in waiting:
-            answer()
+        self._unacked[self._sequence] = ran
+        pending = self._pending_polls
+        self._pending_polls = []
+        for reply in pending:
+            reply()
         if kind is not EndKind.DONE:
             self._break_gang(ran)
 
-    def stop(self, order: StopRun) -> OrderResult:
-        """Stops a run; one that is not there can never start any more."""
-        if order.fence < self._fence:
+    def stop(self, request: StopRun) -> OrderResult:
+        """Handles a stop request: stops the run or bars its later start."""
+        if request.fence < self._fence:
             return OrderResult.FENCED
-        self._fence = order.fence
-        known = self._highest.get(order.task_id, 0)
-        self._highest[order.task_id] = max(known, order.number)
-        ran = self._running.get(order.task_id)
-        if ran and ran.number == order.number:
-            self._site.after(STOP_MS, lambda: self._end(ran, EndKind.STOPPED))
+        self._fence = request.fence
+        last_number = self._last_numbers.get(request.task_id, 0)
+        self._last_numbers[request.task_id] = max(last_number, request.number)
+        ran = self._running.get(request.task_id)
+        if ran and ran.number == request.number:
+            self._site.after(
+                STOP_DELAY_MS, lambda: self._end(ran, EndKind.STOPPED)
+            )
         return OrderResult.DONE
 
-    def pace(self, order: PaceRun) -> None:
-        """Sets the pace of a run, a little later."""
-        ran = self._running.get(order.task_id)
-        if order.fence < self._fence or ran is None:
+    def pace(self, request: PaceRun) -> None:
+        """Handles a throttle request; it takes effect after a delay."""
+        ran = self._running.get(request.task_id)
+        if request.fence < self._fence or ran is None:
             return
-        set_pace = functools.partial(setattr, ran, "percent", order.percent)
-        self._site.after(PACE_MS, set_pace)
+        set_percent = functools.partial(
+            setattr, ran, "percent", request.percent
+        )
+        self._site.after(THROTTLE_DELAY_MS, set_percent)
 
     @property
     def tail_ms(self) -> float:
-        """The tail of the times of the answers that are given here."""
+        """Tail latency of the latency-sensitive tasks, in ms."""
         filling = [
             ran.percent / 100
             for ran in self._running.values()
             if ran.task_id.job in self._site.filling
         ]
-        return CALM_TAIL_MS + self.disturb_ms * sum(filling)
+        return IDLE_TAIL_MS + self.disturb_ms * sum(filling)
 
     def hold(
-        self, order: HoldWorker, answer: Callable[[HoldAnswer], None]
+        self, request: HoldWorker, send_reply: Callable[[HoldAnswer], None]
     ) -> None:
-        """Renews the lease; answers at an end or after the wait."""
+        """Handles a poll: renews the lease and replies with the runs.
+
+        The reply is sent at once if there are unacknowledged ends, else at the
+        next end of a run or after the wait of the poll.
+        """
         if self.is_gone:
-            answer(HoldAnswer(OrderResult.GONE))
+            send_reply(HoldAnswer(OrderResult.GONE))
             return
-        if order.fence < self._fence:
-            answer(HoldAnswer(OrderResult.FENCED))
+        if request.fence < self._fence:
+            send_reply(HoldAnswer(OrderResult.FENCED))
             return
-        self._fence = order.fence
-        if order.lease_until_ms is not None:
-            self._renew(order.lease_until_ms)
-        self._note_ends(order.seen_upto)
-        if self._ended or not order.wait_ms:
-            answer(self._list())
+        self._fence = request.fence
+        if request.lease_until_ms is not None:
+            self._renew(request.lease_until_ms)
+        self._drop_acked_ends(request.seen_upto)
+        if self._ended or not request.wait_ms:
+            send_reply(self._make_reply())
             return
-        is_open = True
+        is_pending = True
 
-        def answer_once() -> None:
-            nonlocal is_open
-            if is_open:
-                is_open = False
-                answer(self._list())
+        def reply_once() -> None:
+            nonlocal is_pending
+            if is_pending:
+                is_pending = False
+                send_reply(self._make_reply())
 
-        self._waiting.append(answer_once)
-        self._site.after(order.wait_ms, answer_once)
+        self._pending_polls.append(reply_once)
+        self._site.after(request.wait_ms, reply_once)
 
-    def _note_ends(self, seen_upto: int) -> None:
-        self._ended = [row for row in self._ended if row.sequence > seen_upto]
-        for sequence in [one for one in self._unnoted if one <= seen_upto]:
-            self._unnoted.pop(sequence).is_noted = True
+    def _drop_acked_ends(self, acked: int) -> None:
+        """Drops the acknowledged ends, up to a sequence number."""
+        self._ended = [row for row in self._ended if row.sequence > acked]
+        for sequence in [s for s in self._unacked if s <= acked]:
+            self._unacked.pop(sequence).is_noted = True
 
-    def _list(self) -> HoldAnswer:
+    def _make_reply(self) -> HoldAnswer:
         running = [
             RunningRow(
                 ran.task_id,
@@ -347,19 +361,21 @@
         return HoldAnswer(OrderResult.DONE, now_ms, running, self._ended[:])
 
     def _checkpoint(self, ran: RanTask) -> str:
-        passed_ms = self._site.clock.now_ms() - ran.start_ms
-        return write_checkpoint(ran.task_id, ran.from_ms + passed_ms)
+        elapsed_ms = self._site.clock.now_ms() - ran.start_ms
+        return write_checkpoint(ran.task_id, ran.from_ms + elapsed_ms)
 
     def _renew(self, until_ms: float) -> None:
+        """Renews the lease and schedules the check for its expiry."""
         now_ms = self._site.clock.now_ms()
         until_ms = min(until_ms, now_ms + LEASE_MS)
         self._lease_until_ms = max(self._lease_until_ms, until_ms)
-        left_ms = self._lease_until_ms - now_ms
-        self._site.after(left_ms, self._let_lapse)
+        remaining_ms = self._lease_until_ms - now_ms
+        self._site.after(remaining_ms, self._expire_lease)
 
-    def _let_lapse(self) -> None:
+    def _expire_lease(self) -> None:
+        """Ends all runs if the lease has expired."""
         if self._site.clock.now_ms() < self._lease_until_ms:
             return
-        self._unnoted.clear()
+        self._unacked.clear()
         for ran in list(self._running.values()):
             self._end(ran, EndKind.LAPSED)
