--- a/packages/testbed/src/clayfield/testbed/box.py
+++ b/packages/testbed/src/clayfield/testbed/box.py
@@ -1,4 +1,4 @@
-"""One box of a site: the real decisions on a fake network and disk."""
+"""A simulated box: the real core of a box on a fake network and disk."""
 
 import random
 from collections.abc import Callable
@@ -26,12 +26,12 @@
 
 
 class FakeDisk:
-    """A disk that keeps what was synced.
+    """A disk that keeps synced records over a crash of its box.
 
     Attributes:
-        made: when the data folder was made.
-        records: what survives a crash.
-        is_lying: reports a sync before it is done.
+        made: identifies the data folder; a replaced disk has a higher number.
+        records: the records that survive a crash.
+        is_lying: whether it reports a sync before the records are stored.
     """
 
     def __init__(self, made: int):
@@ -41,14 +41,18 @@
 
 
 class FakeBox:
-    """A box that can crash, freeze, stop and come back.
+    """A box that can crash, freeze, stop and restart.
 
     Attributes:
-        name: the box's name.
-        core: its decisions, None while it is down.
+        name: name of the box.
+        core: the core of its running process, None while it is down.
         disk: its disk, None for a box without one.
-        incarnation: of its present process.
-        starts: how often its process was started.
+        incarnation: number of its present process.
+        starts: number of starts of its process.
+        is_frozen: whether its process is suspended.
+        boxes: all boxes of the site, by name.
+        applied: the result of each request to apply a configuration, by
+            request.
     """
 
     def __init__(
@@ -83,15 +87,15 @@
         self._sync_ms = sync_ms
         self._timing = timing
         self._make_core = make_core
-        self._held_back: list[Callable[[], None]] = []
+        self._queued_calls: list[Callable[[], None]] = []
 
     @property
     def node(self) -> str:
-        """The present incarnation."""
+        """The node name, which includes the present incarnation."""
         return f"{self.name}/{self.incarnation}"
 
     def start(self) -> None:
-        """Starts the box's process."""
+        """Starts the process of the box from its disk."""
         self.incarnation += 1
         self.starts += 1
         is_control = self._addresses[self.name].is_control
@@ -99,7 +103,7 @@
         identity = Identity(
             self.name,
             self.incarnation,
-            _copied(self._addresses),
+            _copy_addresses(self._addresses),
             self.disk.made if is_control else 0,
         )
         self.core = self._make_core(
@@ -108,12 +112,12 @@
         self._tick(self.incarnation)
 
     def crash(self) -> None:
-        """Ends the process at once; what was not synced is gone."""
+        """Ends the process at once; records that were not synced are lost."""
         if self.core is not None:
             self._close_streams()
         self.core = None
         self.is_frozen = False
-        self._held_back.clear()
+        self._queued_calls.clear()
 
     def _close_streams(self) -> None:
         node = self.node
@@ -128,39 +132,48 @@
                 )
 
     def add_disk(self) -> None:
-        """Gives a box its first disk."""
+        """Adds the first disk to a box without one."""
         self.disk = FakeDisk(1)
 
     def lose_disk(self) -> None:
-        """Replaces the disk of a box that is down by an empty one."""
+        """Replaces the disk of a stopped box by an empty one."""
         self.disk = FakeDisk(self.disk.made + 1)
 
     def freeze(self) -> None:
-        """Stops the process without ending it."""
+        """Suspends the process without ending it."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Lets a frozen process go on with all that has come meanwhile."""
+        """Resumes a frozen process and runs the calls that were queued."""
         self.is_frozen = False
-        held_back = self._held_back
-        self._held_back = []
-        for act in held_back:
-            act()
+        queued = self._queued_calls
+        self._queued_calls = []
+        for callback in queued:
+            callback()
 
-    def do(self, act: Callable[[BoxCore], None]) -> None:
-        """Lets something happen to the box, if it is up."""
+    def do(self, callback: Callable[[BoxCore], None]) -> None:
+        """Calls a function with the core of the box and runs its actions.
+
+        The call is queued while the box is frozen and dropped while it is
+        down.
+        """
         incarnation = self.incarnation
         if self.core is None:
             return
         if self.is_frozen:
-            self._held_back.append(lambda: self._do_as(incarnation, act))
+            self._queued_calls.append(
+                lambda: self._do_if_running(incarnation, callback)
+            )
             return
-        act(self.core)
-        self._carry_out()
+        callback(self.core)
+        self._run_actions()
 
-    def _do_as(self, incarnation: int, act: Callable[[BoxCore], None]) -> None:
+    def _do_if_running(
+        self, incarnation: int, callback: Callable[[BoxCore], None]
+    ) -> None:
+        """Calls `do` if the given incarnation still runs."""
         if self.core is not None and incarnation == self.incarnation:
-            self.do(act)
+            self.do(callback)
 
     def _tick(self, incarnation: int) -> None:
         if self.core is None or incarnation != self.incarnation:
@@ -169,7 +182,7 @@
             self.do(lambda core: core.tick())
         self._events.after(TICK_MS, lambda: self._tick(incarnation))
 
-    def _carry_out(self) -> None:
+    def _run_actions(self) -> None:
         for action in self.core.take_actions():
             match action:
                 case Send(box=box, message=message):
@@ -181,7 +194,7 @@
                 case Answer(waiter=waiter, outcome=outcome):
                     waiter(outcome)
                 case InForce(version=version):
-                    self._on_in_force(version)
+                    self._on_config_activated(version)
                 case Applied(request=request):
                     self.applied[request] = action
 
@@ -191,7 +204,7 @@
         halls = self.core.identity.halls
 
         def deliver() -> None:
-            # As the greeting of a stream: other halls, no talk.
+            # The greeting of a stream rejects a peer with other halls.
             if peer.core and peer.core.identity.halls == halls:
                 peer.do(lambda core: core.on_message(node, message))
 
@@ -200,9 +213,11 @@
     def _persist(self, action: Persist) -> None:
         incarnation = self.incarnation
         if self.disk.is_lying:
-            # The records reach the disk later than their messages leave.
+            # Sends the messages before the records are stored.
             disk = self.disk
-            self._do_as(incarnation, lambda core: self._after_sync(action))
+            self._do_if_running(
+                incarnation, lambda core: self._after_sync(action)
+            )
             self._events.after(
                 50.0, lambda: self._write_late(incarnation, disk, action)
             )
@@ -221,25 +236,26 @@
         if self.core is None or incarnation != self.incarnation:
             return
         self.disk.records.extend(action.records)
-        self._do_as(incarnation, lambda core: self._after_sync(action))
+        self._do_if_running(incarnation, lambda core: self._after_sync(action))
 
     def _after_sync(self, action: Persist) -> None:
         for message in action.messages:
             self._send(box_of(message.to), message)
         self.core.on_persisted(action.last_index)
 
-    def _on_in_force(self, version: int) -> None:
+    def _on_config_activated(self, version: int) -> None:
         digest = to_bytes(self.core.cfg)
         process = f"{self.name} start {self.starts}"
         self._ledger.on_in_force(process, version, digest)
 
     def _start_task(self, action: StartTask) -> None:
+        """Sends a start to a worker; its end or a timeout is reported once."""
         core = self.core
         incarnation = self.incarnation
         sub = core.entry.holder_of(action.grant)
         worker = self._workers[action.worker]
         key = sub.key
-        is_open = [True]
+        is_pending = [True]
 
         def report(end: TaskEnd, answer: bytes, took_ms: float) -> None:
             delay_ms = WORKER_DELAY_MS
@@ -248,9 +264,9 @@
             self._events.after(delay_ms, lambda: finish(end, answer, took_ms))
 
         def finish(end: TaskEnd, answer: bytes, took_ms: float) -> None:
-            if is_open[0]:
-                is_open[0] = False
-                self._do_as(
+            if is_pending[0]:
+                is_pending[0] = False
+                self._do_if_running(
                     incarnation,
                     lambda c: c.on_task_end(action.grant, end, answer, took_ms),
                 )
@@ -267,9 +283,11 @@
         )
 
 
-def _copied(addresses: dict[str, PeerAddress]) -> dict[str, PeerAddress]:
-    """Returns the settings as they are now, for one start of a process."""
+def _copy_addresses(
+    addresses: dict[str, PeerAddress],
+) -> dict[str, PeerAddress]:
+    """Returns a copy, as a process reads its settings only when it starts."""
     return {
-        name: PeerAddress(one.hall, one.address, one.is_control)
-        for name, one in addresses.items()
+        name: PeerAddress(peer.hall, peer.address, peer.is_control)
+        for name, peer in addresses.items()
     }
--- a/packages/testbed/src/clayfield/testbed/network.py
+++ b/packages/testbed/src/clayfield/testbed/network.py
@@ -1,4 +1,4 @@
-"""A network that delays, drops, doubles, reorders and cuts."""
+"""A simulated network that delays, drops, duplicates and reorders messages."""
 
 import random
 from collections.abc import Callable
@@ -7,12 +7,13 @@
 
 
 class Faults:
-    """How badly the network behaves.
+    """The rates of random faults in a network.
 
     Attributes:
         drop: share of messages lost.
         double: share of messages delivered twice.
-        jitter_ms: up to this much is added, so messages overtake each other.
+        jitter_ms: largest random delay added to a message, in ms; messages
+            are reordered by it.
     """
 
     __slots__ = ("double", "drop", "jitter_ms")
@@ -26,12 +27,12 @@
 
 
 class Network:
-    """Carries batches between named places.
+    """Delivers messages between boxes and workers, which are named.
 
     Attributes:
-        faults: what goes wrong at random.
-        injected: how often each kind of fault was put in.
-        sent: messages sent.
+        faults: the rates of random faults.
+        injected: number of faults injected, by kind.
+        sent: number of messages sent, including the lost ones.
     """
 
     def __init__(
@@ -46,30 +47,30 @@
         self._events = events
         self._rng = rng
         self._delay_of = delay_of
-        self._cuts: set[tuple[str, str]] = set()
+        self._partitioned_links: set[tuple[str, str]] = set()
 
     def cut(self, one_side: set[str], other_side: set[str]) -> None:
-        """Stops all traffic between two sets of places."""
+        """Stops all traffic between two sets of boxes and workers."""
         self.injected["cut"] += 1
-        for one in one_side:
+        for name in one_side:
             for other in other_side - one_side:
-                self._cuts.add((one, other))
-                self._cuts.add((other, one))
+                self._partitioned_links.add((name, other))
+                self._partitioned_links.add((other, name))
 
     def heal(self) -> None:
-        """Ends all cuts."""
-        self._cuts.clear()
+        """Ends all partitions."""
+        self._partitioned_links.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Tells whether traffic between two places is stopped."""
-        return (source, target) in self._cuts
+        """Returns whether traffic from `source` to `target` is stopped."""
+        return (source, target) in self._partitioned_links
 
     def send(
         self, source: str, target: str, deliver: Callable[[], None]
     ) -> None:
-        """Delivers something after the delay, unless a fault befalls it."""
+        """Calls `deliver` after the delay, subject to the faults."""
         self.sent += 1
-        if (source, target) in self._cuts:
+        if (source, target) in self._partitioned_links:
             return
         faults = self.faults
         if faults.drop and self._rng.random() < faults.drop:
--- a/packages/testbed/src/clayfield/testbed/poolworkers.py
+++ b/packages/testbed/src/clayfield/testbed/poolworkers.py
@@ -1,8 +1,7 @@
-"""Stand-in workers of a pool, as a process of their own.
+"""A process of stand-in workers on loopback.
 
-Each serves clayfield's own worker protocol on loopback and makes its
-statements to the control nodes. Tasks take the time that is set; nothing
-else is asked of them.
+Each worker serves clayfield's native worker protocol and sends its heartbeats
+to the control nodes. Every task takes the same fixed time and does nothing.
 """
 
 import argparse
@@ -41,23 +40,23 @@
 
 CPU = 16_000
 MEMORY_MB = 4096
-STATEMENT_S = 0.2
+HEARTBEAT_INTERVAL_S = 0.2
 CALL_TIMEOUT_S = 1.0
 LOOPBACK = "127.0.0.1"
 
 
 class LiveSite:
-    """What a fake worker needs, on the real clock.
+    """The surroundings of a fake worker, on the real clock.
 
     Attributes:
-        clock: the machine's.
-        ran: every run that was carried out.
-        over_room: tasks that were started on a full worker.
-        gangs: none, as these workers do not know of each other.
-        advised: none.
-        advisor: is not asked.
-        filling: none.
-        rng: unused by workers that are well.
+        clock: the monotonic clock of the machine.
+        ran: every run that a worker executed.
+        over_room: the tasks that were started on a worker without free CPU.
+        gangs: always empty: gangs are not supported here.
+        advised: always empty.
+        advisor: never used.
+        filling: always empty.
+        rng: random numbers; they have no effect while `FakeWorker.spread` is 0.
     """
 
     def __init__(self) -> None:
@@ -70,13 +69,13 @@
         self.rng = random.Random(0)
         self.advisor = FakeAdvisor(self.clock, self.after, self.rng)
 
-    def after(self, delay_ms: float, act: object) -> None:
-        """Has something happen later."""
-        reactor.callLater(max(0.0, delay_ms) / 1000.0, act)
+    def after(self, delay_ms: float, callback: object) -> None:
+        """Schedules a call after a delay."""
+        reactor.callLater(max(0.0, delay_ms) / 1000.0, callback)
 
 
 class LiveWorker:
-    """One worker at a port of its own."""
+    """A worker that listens at a port of its own."""
 
     def __init__(self, site: LiveSite, number: int, task_ms: float):
         self._site = site
@@ -99,17 +98,17 @@
     def _on_request(self, request: HttpRequest) -> None:
         match request.path:
             case path if path == START_PATH:
-                self._start(request)
+                self._on_start(request)
             case path if path == STOP_PATH:
-                self._stop(request)
+                self._on_stop(request)
             case path if path == HOLD_PATH:
-                self._hold(request)
+                self._on_poll(request)
             case _:
                 request.answer(404)
 
-    def _start(self, request: HttpRequest) -> None:
+    def _on_start(self, request: HttpRequest) -> None:
         body = msgspec.json.decode(request.body, type=StartBody)
-        order = StartRun(
+        command = StartRun(
             body.worker,
             "",
             body.task,
@@ -120,16 +119,16 @@
             body.checkpoint,
             body.ticket,
         )
-        self._answer(request, self._worker.start(order))
+        self._send_response(request, self._worker.start(command))
 
-    def _stop(self, request: HttpRequest) -> None:
+    def _on_stop(self, request: HttpRequest) -> None:
         body = msgspec.json.decode(request.body, type=StopBody)
-        order = StopRun(body.worker, "", body.task, body.number, body.fence)
-        self._answer(request, self._worker.stop(order))
+        command = StopRun(body.worker, "", body.task, body.number, body.fence)
+        self._send_response(request, self._worker.stop(command))
 
-    def _hold(self, request: HttpRequest) -> None:
+    def _on_poll(self, request: HttpRequest) -> None:
         body = msgspec.json.decode(request.body, type=HoldBody)
-        order = HoldWorker(
+        poll = HoldWorker(
             body.worker,
             "",
             body.seen_upto,
@@ -139,36 +138,37 @@
             0,
         )
 
-        def answer(held: HoldAnswer) -> None:
-            self._answer(request, held.result, held)
+        def send_reply(runs: HoldAnswer) -> None:
+            self._send_response(request, runs.result, runs)
 
-        self._worker.hold(order, answer)
+        self._worker.hold(poll, send_reply)
 
-    def _answer(
+    def _send_response(
         self,
         request: HttpRequest,
         result: OrderResult,
-        held: HoldAnswer | None = None,
+        runs: HoldAnswer | None = None,
     ) -> None:
-        answer = WorkerAnswer(result, self._site.clock.now_ms())
-        if held:
-            answer.running = [
+        """Sends the HTTP response, with the runs if it replies to a poll."""
+        reply = WorkerAnswer(result, self._site.clock.now_ms())
+        if runs:
+            reply.running = [
                 RunningItem(row.task_id, row.number, row.percent, row.saved)
-                for row in held.running
+                for row in runs.running
             ]
-            answer.ended = [
+            reply.ended = [
                 EndedItem(
                     row.sequence, row.task_id, row.number, row.kind, row.saved
                 )
-                for row in held.ended
+                for row in runs.ended
             ]
-        request.answer(200, msgspec.json.encode(answer))
+        request.answer(200, msgspec.json.encode(reply))
 
-    def make_statement(self, control: ConnectionPool) -> None:
-        """Tells a control node what this worker is."""
+    def send_heartbeat(self, control: ConnectionPool) -> None:
+        """Sends the description of this worker to a control node."""
         self._sequence += 1
         info = self._worker.info
-        statement = {
+        heartbeat = {
             "service": info.service,
             "address": info.address,
             "hall": info.hall,
@@ -177,7 +177,7 @@
             "cpu": info.cpu,
             "memory_mb": info.memory_mb,
         }
-        content = msgspec.json.encode(statement)
+        content = msgspec.json.encode(heartbeat)
         head = (
             f"PUT {WORKERS_PREFIX}{info.name} HTTP/1.1\r\n"
             "Host: control\r\n"
@@ -187,7 +187,7 @@
 
 
 def main() -> None:
-    """Runs workers until ended; prints a line once they listen."""
+    """Serves the workers; prints "ready" once they listen."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--control", required=True, help="IP:PORT,...")
     parser.add_argument("--workers", type=int, default=4)
@@ -198,15 +198,17 @@
         LiveWorker(site, number, arguments.task_ms)
         for number in range(arguments.workers)
     ]
-    places = [place for place in arguments.control.split(",") if address(place)]
-    pools = [ConnectionPool(reactor, place) for place in places]
+    controls = [
+        control for control in arguments.control.split(",") if address(control)
+    ]
+    pools = [ConnectionPool(reactor, control) for control in controls]
 
-    def make_statements() -> None:
+    def send_heartbeats() -> None:
         for pool in pools:
             for worker in workers:
-                worker.make_statement(pool)
+                worker.send_heartbeat(pool)
 
-    task.LoopingCall(make_statements).start(STATEMENT_S)
+    task.LoopingCall(send_heartbeats).start(HEARTBEAT_INTERVAL_S)
     reactor.callWhenRunning(lambda: print("ready", flush=True))
     reactor.run()
 
--- a/packages/testbed/src/clayfield/testbed/site.py
+++ b/packages/testbed/src/clayfield/testbed/site.py
@@ -1,4 +1,8 @@
-"""Halls, boxes and workers put together on one event queue."""
+"""Simulates a site of halls, boxes and workers on one event queue.
+
+A box is a machine of the system, a hall a zone of boxes and workers. The boxes
+run the real core on a fake network, disk and clock.
+"""
 
 import random
 from collections.abc import Callable
@@ -23,9 +27,9 @@
 from clayfield.testbed.workers import FakeWorker
 from clayfield.wire.messages import Outcome
 
-LOCAL_MS = 0.1
-HALL_MS = 0.5
-LIST_MS = 500.0
+LOCAL_DELAY_MS = 0.1
+HALL_DELAY_MS = 0.5
+LIST_INTERVAL_MS = 500.0
 MEMBER = "desk"
 
 DEFAULT = Configuration(
@@ -43,16 +47,17 @@
 
 
 class SiteShape:
-    """How large a site is.
+    """The size and the delays of a site.
 
     Attributes:
         halls: number of boxes in each hall, by name.
-        control: how many boxes have a disk, spread over the halls.
-        workers: in each hall.
-        slots: of each worker.
-        racks: in each hall.
-        list_lag_ms: how old the platform list is.
-        sync_ms: how long a synced write takes.
+        control: number of boxes with the control role and a disk, spread over
+            the halls.
+        workers: number of workers in each hall.
+        slots: number of slots of each worker.
+        racks: number of racks in each hall.
+        list_lag_ms: age of the worker list when the boxes get it, in ms.
+        sync_ms: duration of a synced write, in ms.
     """
 
     __slots__ = (
@@ -85,14 +90,16 @@
 
 
 class Site:
-    """A whole site under one event queue.
+    """A simulated site.
 
     Attributes:
-        events: the queue.
-        network: between boxes.
-        ledger: what happened.
-        boxes: by name.
-        workers: by name.
+        events: the event queue that all parts share.
+        rng: the random numbers of the simulation.
+        network: the network between the boxes and to the workers.
+        ledger: checks the invariants.
+        shape: the size and the delays of the site.
+        boxes: the boxes, by name.
+        workers: the workers, by name.
     """
 
     def __init__(
@@ -109,10 +116,10 @@
         self.ledger = ledger or Ledger()
         self.shape = shape
         self._run_ms: dict[tuple[str, int], float] = {}
-        self._addresses = self._place_boxes()
+        self._addresses = self._make_addresses()
         self.workers: dict[str, FakeWorker] = {}
         for hall in shape.halls:
-            self._place_workers_in(hall)
+            self._add_workers(hall)
         self._timing = timing
         self._make_core = make_core
         self.boxes = {name: self._make_box(name) for name in self._addresses}
@@ -137,36 +144,40 @@
         )
 
     def add_hall(self, hall: str, boxes: int) -> None:
-        """Adds a hall; boxes that start from now on know it."""
+        """Adds a hall; running boxes get it in their settings at a restart."""
         for number in range(boxes):
             name = f"{hall}-{chr(ord('a') + number)}"
             self._addresses[name] = PeerAddress(hall, "", False)
             self.boxes[name] = self._make_box(name)
             self.boxes[name].boxes = self.boxes
-        self._place_workers_in(hall)
+        self._add_workers(hall)
         for box in self.boxes_in(hall):
             box.start()
 
     def move_control(self, source: str, target: str) -> None:
-        """Names another box as control, for boxes that start from now on."""
+        """Moves the control role to another box.
+
+        Running boxes get the new settings at a restart.
+        """
         self._addresses[source].is_control = False
         self._addresses[target].is_control = True
         self.boxes[target].add_disk()
 
-    def _place_boxes(self) -> dict[str, PeerAddress]:
+    def _make_addresses(self) -> dict[str, PeerAddress]:
+        """Returns the settings of all boxes, with control boxes spread out."""
         addresses: dict[str, PeerAddress] = {}
-        most = max(self.shape.halls.values())
-        control_left = self.shape.control
-        for number in range(most):
+        largest = max(self.shape.halls.values())
+        remaining_control = self.shape.control
+        for number in range(largest):
             for hall, count in self.shape.halls.items():
                 if number < count:
-                    is_control = control_left > 0
-                    control_left -= is_control
+                    is_control = remaining_control > 0
+                    remaining_control -= is_control
                     name = f"{hall}-{chr(ord('a') + number)}"
                     addresses[name] = PeerAddress(hall, "", is_control)
         return addresses
 
-    def _place_workers_in(self, hall: str) -> None:
+    def _add_workers(self, hall: str) -> None:
         shape = self.shape
         for number in range(shape.workers):
             rack = f"{hall}-r{number * shape.racks // shape.workers}"
@@ -175,12 +186,12 @@
             self.workers[name] = FakeWorker(info, self.events, self.ledger)
 
     def _delay_ms(self, source: str, target: str) -> float:
-        same = self.hall_of(source) == self.hall_of(target)
-        return LOCAL_MS if same else HALL_MS
+        is_local = self.hall_of(source) == self.hall_of(target)
+        return LOCAL_DELAY_MS if is_local else HALL_DELAY_MS
 
-    def hall_of(self, place: str) -> str:
+    def hall_of(self, name: str) -> str:
         """Returns the hall of a box or worker."""
-        return place.rpartition("-")[0]
+        return name.rpartition("-")[0]
 
     def boxes_in(self, hall: str) -> list[FakeBox]:
         """Returns the boxes of a hall."""
@@ -188,26 +199,27 @@
 
     def places_in(self, hall: str) -> set[str]:
         """Returns the names of all boxes and workers of a hall."""
-        places = [*self.boxes, *self.workers]
-        return {place for place in places if self.hall_of(place) == hall}
+        names = [*self.boxes, *self.workers]
+        return {name for name in names if self.hall_of(name) == hall}
 
     def _publish_list(self) -> None:
-        """Lets every box poll the platform list, which lags."""
+        """Delivers the present worker list to every box after its lag."""
         listed = [
-            _listed(worker)
+            _make_list_entry(worker)
             for worker in self.workers.values()
             if worker.is_alive or worker.is_leaving
         ]
 
-        def show() -> None:
-            self._note_leaving(listed)
+        def deliver() -> None:
+            self._record_leaving(listed)
             for box in self.boxes.values():
                 box.do(lambda core: core.on_workers(listed))
 
-        self.events.after(self.shape.list_lag_ms, show)
-        self.events.after(LIST_MS, self._publish_list)
+        self.events.after(self.shape.list_lag_ms, deliver)
+        self.events.after(LIST_INTERVAL_MS, self._publish_list)
 
-    def _note_leaving(self, listed: list[WorkerInfo]) -> None:
+    def _record_leaving(self, listed: list[WorkerInfo]) -> None:
+        """Records when the boxes first saw each worker as leaving."""
         for info in listed:
             worker = self.workers[info.name]
             if not info.is_leaving:
@@ -216,7 +228,7 @@
                 worker.seen_leaving_ms = self.events.now_ms()
 
     def run(self, duration_ms: float) -> None:
-        """Lets time pass."""
+        """Advances the simulation by a duration, in ms."""
         self.events.run_until(self.events.now_ms() + duration_ms)
 
     def settle(
@@ -225,7 +237,7 @@
         """Applies a first configuration and waits until all boxes are ready.
 
         Raises:
-            TimeoutError: they are not ready after `limit_ms`.
+            TimeoutError: a box is not ready after `limit_ms`.
         """
         self.run(self.shape.list_lag_ms + 1500.0)
         self.apply(next(iter(self.boxes)), cfg)
@@ -235,10 +247,14 @@
             if all(b.core.is_ready for b in self.boxes.values() if b.core):
                 self.run(200.0)
                 return
-        raise TimeoutError("the site did not get ready")
+        raise TimeoutError(f"not all boxes are ready after {limit_ms} ms")
 
     def apply(self, box: str, cfg: Configuration) -> int:
-        """Hands a configuration to a box; returns the request's number."""
+        """Applies a configuration at a box.
+
+        Returns:
+            The number of the request, 0 if the box is down or frozen.
+        """
         numbers: list[int] = []
         self.boxes[box].do(lambda core: numbers.append(core.apply(cfg)))
         return numbers[0] if numbers else 0
@@ -256,34 +272,46 @@
         member: str = MEMBER,
         is_first: bool = False,
     ) -> bool:
-        """Submits a job whose tasks take the given times.
+        """Submits a job.
+
+        Args:
+            box: name of the box that gets the job.
+            key: the idempotency key.
+            priority: name of the priority class.
+            run_ms: the duration of each task, in ms.
+            on_answer: called with the answer.
+            service: name of the service.
+            is_repeatable: whether a lost task may be started again.
+            deadline_ms: deadline of the job in ms, 0 for none.
+            member: name of the member (customer) who submits it.
+            is_first: whether this is the first attempt to submit the key.
 
         Returns:
-            Whether the box was up to take it.
+            Whether the box is up.
         """
         target = self.boxes[box]
         if target.core is None:
             return False
-        owned = owned_key(member, key)
+        full_key = owned_key(member, key)
         tasks = [
-            msgspec.json.encode([owned, number])
+            msgspec.json.encode([full_key, number])
             for number in range(len(run_ms))
         ]
-        for number, one in enumerate(run_ms):
-            self._run_ms[owned, number] = one
-        self.ledger.on_submit(owned, tasks)
+        for number, task_ms in enumerate(run_ms):
+            self._run_ms[full_key, number] = task_ms
+        self.ledger.on_submit(full_key, tasks)
         if is_repeatable:
-            self.ledger.may_repeat.add(owned)
+            self.ledger.may_repeat.add(full_key)
 
         def answered(outcome: Outcome) -> None:
-            self.ledger.on_answer(owned, outcome)
+            self.ledger.on_answer(full_key, outcome)
             if on_answer:
                 on_answer(outcome)
 
         req = JobRequest(
             member,
             key,
-            owned.encode(),
+            full_key.encode(),
             service,
             priority,
             tasks,
@@ -295,7 +323,8 @@
         return True
 
 
-def _listed(worker: FakeWorker) -> WorkerInfo:
+def _make_list_entry(worker: FakeWorker) -> WorkerInfo:
+    """Returns the entry of a worker in the worker list."""
     info = worker.info
     return WorkerInfo(
         info.name,
--- a/packages/testbed/src/clayfield/testbed/timeline.py
+++ b/packages/testbed/src/clayfield/testbed/timeline.py
@@ -1,4 +1,4 @@
-"""Things that happen at their time on a manual clock."""
+"""Runs scheduled calls on a manual clock."""
 
 import heapq
 from collections.abc import Callable
@@ -7,10 +7,10 @@
 
 
 class Timeline:
-    """What is to happen, in order; the base of the sites of tests.
+    """Scheduled calls in order of time; the base class of simulated sites.
 
     Attributes:
-        clock: moved by `run` only.
+        clock: the manual clock, advanced only by `run`.
     """
 
     def __init__(self) -> None:
@@ -18,17 +18,17 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
-    def after(self, delay_ms: float, act: Callable[[], None]) -> None:
-        """Has something happen later."""
+    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Schedules a call after a delay."""
         self._count += 1
-        at_ms = self.clock.now_ms() + delay_ms
-        heapq.heappush(self._events, (at_ms, self._count, act))
+        due_ms = self.clock.now_ms() + delay_ms
+        heapq.heappush(self._events, (due_ms, self._count, callback))
 
     def run(self, duration_ms: float) -> None:
-        """Lets time pass."""
+        """Advances the clock by a duration and runs the calls that are due."""
         end_ms = self.clock.now_ms() + duration_ms
         while self._events and self._events[0][0] <= end_ms:
-            at_ms, _, act = heapq.heappop(self._events)
-            self.clock.set(at_ms)
-            act()
+            due_ms, _, callback = heapq.heappop(self._events)
+            self.clock.set(due_ms)
+            callback()
         self.clock.set(end_ms)
--- a/packages/testbed/src/clayfield/testbed/workers.py
+++ b/packages/testbed/src/clayfield/testbed/workers.py
@@ -1,4 +1,4 @@
-"""Stand-in workers."""
+"""Simulated workers with slots, for sites of boxes."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,14 @@
     """A worker with a fixed number of slots.
 
     Attributes:
-        info: as the platform list will show it.
-        is_alive: refuses connections when not.
-        is_leaving: refuses starts when so.
-        is_frozen: takes starts and never answers.
-        seen_leaving_ms: since when boxes could see that it leaves.
-        slowdown: multiplies the time of tasks.
-        busy_ms: slot time spent on tasks that ended.
+        info: its description in the worker list.
+        is_alive: whether it accepts connections.
+        is_leaving: whether it rejects starts because it is being removed.
+        is_frozen: whether it accepts starts but never replies.
+        seen_leaving_ms: time at which the worker list first showed the boxes
+            that it is leaving, in ms; infinite if it did not.
+        slowdown: factor applied to the duration of tasks.
+        busy_ms: slot time spent on completed tasks, in ms.
     """
 
     def __init__(self, info: WorkerInfo, events: EventQueue, ledger: Ledger):
@@ -33,41 +34,49 @@
         self._events = events
         self._ledger = ledger
         self._running: dict[int, Report] = {}
-        self._next = 0
+        self._last_number = 0
 
     def start(
         self, key: str, task: int, payload: bytes, run_ms: float, report: Report
     ) -> None:
-        """Takes a start; `report` is called once, unless it is frozen."""
+        """Handles a start request.
+
+        Args:
+            key: the key of the job.
+            task: the number of the task in the job.
+            payload: the payload of the task, which is also its answer.
+            run_ms: the duration of the task, in ms.
+            report: called once with the end, never if the worker is frozen.
+        """
         if not self.is_alive:
             report(TaskEnd.UNREACHED, b"", 0.0)
             return
         if self.is_leaving:
-            asked_late = self._events.now_ms() - self.seen_leaving_ms
-            self._ledger.on_leaving_start(self.info.name, asked_late)
+            seen_for_ms = self._events.now_ms() - self.seen_leaving_ms
+            self._ledger.on_leaving_start(self.info.name, seen_for_ms)
             report(TaskEnd.LEAVING, b"", 0.0)
             return
         if len(self._running) >= self.info.slots:
             report(TaskEnd.REFUSED, b"", 0.0)
             return
         self._ledger.on_start(key, task, self.info.name)
-        self._next += 1
-        number = self._next
+        self._last_number += 1
+        number = self._last_number
         self._running[number] = report
         if not self.is_frozen:
-            took_ms = run_ms * self.slowdown
+            duration_ms = run_ms * self.slowdown
             self._events.after(
-                took_ms, lambda: self._end(number, payload, took_ms)
+                duration_ms, lambda: self._end(number, payload, duration_ms)
             )
 
-    def _end(self, number: int, payload: bytes, took_ms: float) -> None:
+    def _end(self, number: int, payload: bytes, duration_ms: float) -> None:
         report = self._running.pop(number, None)
         if report and not self.is_frozen:
-            self.busy_ms += took_ms
-            report(TaskEnd.ANSWERED, payload, took_ms)
+            self.busy_ms += duration_ms
+            report(TaskEnd.ANSWERED, payload, duration_ms)
 
     def kill(self) -> None:
-        """Dies; whatever runs is lost, and the connections break."""
+        """Ends the process: running tasks are lost, connections break."""
         self.is_alive = False
         running = list(self._running.values())
         self._running.clear()
@@ -75,7 +84,7 @@
             report(TaskEnd.LOST, b"", 0.0)
 
     def revive(self) -> None:
-        """Comes back, empty."""
+        """Restarts the process, without running tasks."""
         self.is_alive = True
         self.is_frozen = False
         self._running.clear()
