--- a/packages/testbed/src/clayfield/testbed/ledger.py
+++ b/packages/testbed/src/clayfield/testbed/ledger.py
@@ -1,4 +1,8 @@
-"""Writes down what happened and checks it against the brief's promises."""
+"""Checks the invariants of a simulated site.
+
+The callers and workers of a site report what they send, start and get. Each
+report is checked against the invariants, whose names are the constants below.
+"""
 
 import collections
 
@@ -8,32 +12,36 @@
 from clayfield.dispatch import read_problem
 from clayfield.wire.messages import Outcome
 
-TWICE = "starts_at_most_once"
-PARTIAL = "complete_or_failed"
-CROSSED = "own_whole_answer"
-DID_RUN = "did_not_run_is_true"
-LEAVING = "leaving_gets_nothing_new"
-CUT_SHORT = "planned_stop_cuts_nothing"
-REVERTED = "configuration_never_reverts"
-FORKED = "one_configuration_a_version"
-SAME_BYTES = "same_answer_every_time"
-DEPOSED = "return_deposes_nobody"
+AT_MOST_ONCE = "starts_at_most_once"
+COMPLETE_ANSWER = "complete_or_failed"
+OWN_ANSWER = "own_whole_answer"
+DID_NOT_RUN = "did_not_run_is_true"
+NO_START_WHEN_LEAVING = "leaving_gets_nothing_new"
+PLANNED_STOP = "planned_stop_cuts_nothing"
+VERSION_RISES = "configuration_never_reverts"
+UNIQUE_VERSION = "one_configuration_a_version"
+SAME_ANSWER = "same_answer_every_time"
+LEADER_KEPT = "return_deposes_nobody"
 PROMISES = (
-    TWICE,
-    PARTIAL,
-    CROSSED,
-    DID_RUN,
-    LEAVING,
-    CUT_SHORT,
-    REVERTED,
-    FORKED,
-    SAME_BYTES,
-    DEPOSED,
+    AT_MOST_ONCE,
+    COMPLETE_ANSWER,
+    OWN_ANSWER,
+    DID_NOT_RUN,
+    NO_START_WHEN_LEAVING,
+    PLANNED_STOP,
+    VERSION_RISES,
+    UNIQUE_VERSION,
+    SAME_ANSWER,
+    LEADER_KEPT,
 )
 
 
 class ViolationError(AssertionError):
-    """A promise was broken."""
+    """An invariant was violated.
+
+    Attributes:
+        promise: name of the invariant.
+    """
 
     def __init__(self, promise: str, detail: str):
         super().__init__(f"{promise}: {detail}")
@@ -41,14 +49,15 @@
 
 
 class Ledger:
-    """What callers sent and got, and what workers started.
+    """Records the requests, answers and starts, and checks the invariants.
 
     Attributes:
-        starts: (key, task) to the workers that started it.
-        checked: how often each promise was put to the test.
-        violations: how often each was broken.
-        may_repeat: keys whose lost tasks may start again.
-        is_strict: raise at the first violation.
+        starts: names of the workers that started a task, by key and number of
+            the task.
+        checked: number of checks, by invariant.
+        violations: number of violations, by invariant.
+        may_repeat: keys of the jobs whose lost tasks may be started again.
+        is_strict: whether the first violation raises an error.
     """
 
     def __init__(self, is_strict: bool = True):
@@ -60,34 +69,34 @@
         self._started_keys: collections.Counter[str] = collections.Counter()
         self._tasks: dict[str, list[bytes]] = {}
         self._answers: dict[str, bytes] = {}
-        self._says_not_run: dict[str, int] = {}
-        self._open: collections.Counter[str] = collections.Counter()
+        self._reported_not_run: dict[str, int] = {}
+        self._open_requests: collections.Counter[str] = collections.Counter()
         self._versions: dict[int, bytes] = {}
-        self._in_force: dict[str, int] = {}
+        self._active_versions: dict[str, int] = {}
 
     def on_submit(self, key: str, tasks: list[bytes]) -> None:
-        """Notes that a caller sends a submission."""
+        """Records that a caller submits a job."""
         self._tasks[key] = tasks
-        self._open[key] += 1
-        self._says_not_run.pop(key, None)
+        self._open_requests[key] += 1
+        self._reported_not_run.pop(key, None)
 
     def on_start(self, key: str, task: int, worker: str) -> None:
-        """Notes that a worker starts a task."""
+        """Records that a worker starts a task."""
         workers = self.starts.setdefault((key, task), [])
         workers.append(worker)
         self._started_keys[key] += 1
         if key not in self.may_repeat:
             is_first = len(workers) == 1
-            self._check(TWICE, is_first, f"{key}[{task}] at {workers}")
+            self._check(AT_MOST_ONCE, is_first, f"{key}[{task}] at {workers}")
         self._check(
-            DID_RUN,
-            key not in self._says_not_run,
-            f"{key} started after it was said not to run",
+            DID_NOT_RUN,
+            key not in self._reported_not_run,
+            f"{key} started after a reply that it did not run",
         )
 
     def on_answer(self, key: str, outcome: Outcome) -> None:
-        """Notes that a caller gets an answer."""
-        self._open[key] -= 1
+        """Records that a caller gets an answer."""
+        self._open_requests[key] -= 1
         if outcome.status == 200:
             self._on_complete(key, outcome.body)
             return
@@ -95,54 +104,67 @@
         if problem.ran == Ran.NO:
             count = self._started_keys[key]
             self._check(
-                DID_RUN,
+                DID_NOT_RUN,
                 not count,
                 f"{key} had {count} starts: {outcome.body.decode()}",
             )
-            if not self._open[key]:
-                self._says_not_run[key] = 1
+            if not self._open_requests[key]:
+                self._reported_not_run[key] = 1
 
     def _on_complete(self, key: str, body: bytes) -> None:
         answers = msgspec.json.decode(body)["answers"]
-        wanted = [msgspec.json.decode(task) for task in self._tasks[key]]
+        expected = [msgspec.json.decode(task) for task in self._tasks[key]]
         self._check(
-            PARTIAL, len(answers) == len(wanted), f"{key}: {len(answers)}"
+            COMPLETE_ANSWER,
+            len(answers) == len(expected),
+            f"{key}: {len(answers)} answers",
         )
-        self._check(CROSSED, answers == wanted, f"{key}: {answers}")
-        known = self._answers.setdefault(key, body)
-        self._check(SAME_BYTES, known == body, key)
+        self._check(OWN_ANSWER, answers == expected, f"{key}: {answers}")
+        first = self._answers.setdefault(key, body)
+        self._check(SAME_ANSWER, first == body, key)
 
     def on_leaving_start(self, worker: str, seen_for_ms: float) -> None:
-        """Notes a start at a worker that the boxes saw leaving."""
-        self._check(LEAVING, seen_for_ms <= 2000, f"{worker}: {seen_for_ms} ms")
+        """Records a start request to a worker that is leaving.
+
+        Args:
+            worker: name of the worker.
+            seen_for_ms: how long the worker list has shown that it leaves.
+        """
+        self._check(
+            NO_START_WHEN_LEAVING,
+            seen_for_ms <= 2000,
+            f"{worker}: {seen_for_ms} ms",
+        )
 
     def on_planned_stop_answer(self, key: str, is_whole: bool) -> None:
-        """Notes the answer to a request in flight at a planned stop."""
-        self._check(CUT_SHORT, is_whole, key)
+        """Records whether a request in flight at a planned stop succeeded."""
+        self._check(PLANNED_STOP, is_whole, key)
 
     def on_in_force(self, node: str, version: int, digest: bytes) -> None:
-        """Notes that a version comes into force at a node."""
-        before = self._in_force.get(node, 0)
-        self._check(REVERTED, version > before, f"{node}: {before}→{version}")
-        self._in_force[node] = version
+        """Records that a node activates a configuration version."""
+        previous = self._active_versions.get(node, 0)
+        self._check(
+            VERSION_RISES, version > previous, f"{node}: {previous}→{version}"
+        )
+        self._active_versions[node] = version
         self.on_accepted(version, digest)
 
     def on_accepted(self, version: int, digest: bytes) -> None:
-        """Notes that a version was accepted with a content."""
-        known = self._versions.setdefault(version, digest)
-        self._check(FORKED, known == digest, f"version {version}")
+        """Records that a version was accepted with the given content."""
+        first = self._versions.setdefault(version, digest)
+        self._check(UNIQUE_VERSION, first == digest, f"version {version}")
 
     def on_return(self, terms_before: dict, terms_after: dict) -> None:
-        """Notes the leaders' terms around a node's return from silence."""
+        """Records the leaders' terms before and after a node's partition."""
         self._check(
-            DEPOSED,
+            LEADER_KEPT,
             terms_before == terms_after,
             f"{terms_before} → {terms_after}",
         )
 
-    def _check(self, promise: str, holds: bool, detail: str) -> None:
+    def _check(self, promise: str, is_met: bool, detail: str) -> None:
         self.checked[promise] += 1
-        if holds:
+        if is_met:
             return
         self.violations[promise] += 1
         if self.is_strict:
--- a/packages/testbed/src/clayfield/testbed/mutations.py
+++ b/packages/testbed/src/clayfield/testbed/mutations.py
@@ -1,7 +1,7 @@
-"""Breaks the mechanism behind each promise, to prove that checks catch it.
+"""Mutations that disable the mechanism behind an invariant.
 
-Each mutation is a switch of the tests only: it replaces one method for the
-time of a `with` block and leaves the product as it is.
+The tests run drills with a mutation to show that the checks detect the fault.
+A mutation patches one method for the duration of a `with` block.
 """
 
 import contextlib
@@ -14,16 +14,20 @@
 
 
 def _commit_alone(consensus: Consensus) -> None:
+    """Commits what is stored locally, without a quorum."""
     consensus._commit_to(consensus._persisted)
 
 
-def _elect_at_once(
+def _skip_pre_vote(
     original: Callable[[Consensus, bool], None],
 ) -> Callable[[Consensus, bool], None]:
+    """Returns a patch that starts an election without a pre-vote."""
     return lambda consensus, pre: original(consensus, False)
 
 
-def _start_unchanged(original: Callable[[FakeBox], None]) -> Callable:
+def _keep_incarnation(original: Callable[[FakeBox], None]) -> Callable:
+    """Returns a patch that restarts a box with its first incarnation."""
+
     def start(box: FakeBox) -> None:
         original(box)
         if box.incarnation > 1:
@@ -34,7 +38,9 @@
     return start
 
 
-def _forget_hall_sets(original: Callable) -> Callable:
+def _ignore_hall_sets(original: Callable) -> Callable:
+    """Returns a patch that does not count earlier sets of halls as starts."""
+
     def open_hall(log: ConfigLog, opening: object) -> int:
         count = original(log, opening)
         return count - log._hall_sets.index(opening.halls)
@@ -42,14 +48,16 @@
     return open_hall
 
 
-def _make_lying(
+def _report_sync_early(
     original: Callable[[FakeDisk, int], None],
 ) -> Callable[[FakeDisk, int], None]:
-    def make(disk: FakeDisk, made: int) -> None:
+    """Returns a patch that makes disks report a sync before it is done."""
+
+    def init(disk: FakeDisk, made: int) -> None:
         original(disk, made)
         disk.is_lying = True
 
-    return make
+    return init
 
 
 MUTATIONS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
@@ -59,16 +67,16 @@
     "no_pre_vote": lambda: mock.patch.object(
         Consensus,
         "_start_election",
-        _elect_at_once(Consensus._start_election),
+        _skip_pre_vote(Consensus._start_election),
     ),
     "no_incarnation": lambda: mock.patch.object(
-        FakeBox, "start", _start_unchanged(FakeBox.start)
+        FakeBox, "start", _keep_incarnation(FakeBox.start)
     ),
     "no_sync": lambda: mock.patch.object(
-        FakeDisk, "__init__", _make_lying(FakeDisk.__init__)
+        FakeDisk, "__init__", _report_sync_early(FakeDisk.__init__)
     ),
     "no_hall_sets": lambda: mock.patch.object(
-        ConfigLog, "_open_hall", _forget_hall_sets(ConfigLog._open_hall)
+        ConfigLog, "_open_hall", _ignore_hall_sets(ConfigLog._open_hall)
     ),
     "retry_maybe_started": lambda: mock.patch.object(
         Entry, "_may_retry", lambda entry, sub, task, end: True
@@ -78,6 +86,6 @@
 
 @contextlib.contextmanager
 def mutated(name: str) -> Iterator[None]:
-    """Breaks one mechanism for the time of a block."""
+    """Applies a mutation for the duration of a `with` block."""
     with MUTATIONS[name]():
         yield
