--- a/packages/testbed/src/clayfield/testbed/chaos.py
+++ b/packages/testbed/src/clayfield/testbed/chaos.py
@@ -1,8 +1,9 @@
-"""Random schedules of faults on a site, with every promise checked.
+"""Runs random schedules of requests and faults on a simulated site.
 
-The driver submits, resubmits, crashes, freezes, cuts, loses disks, applies
-racing configurations and stops boxes; then it repairs everything and checks
-that the site comes to rest with one configuration and one answer a key.
+A schedule submits jobs, applies concurrent configurations, crashes, freezes
+and stops boxes, partitions them and replaces their disks. Then it repairs all
+faults and checks that every request was answered, that all boxes have the same
+configuration and that every key still has the same answer.
 """
 
 import collections
@@ -25,18 +26,23 @@
 BAD_NETWORK = Faults(drop=0.02, double=0.02, jitter_ms=3.0)
 GOOD_NETWORK = Faults()
 STEP_MS = 120.0
-REST_MS = 20_000.0
-SILENCE_MS = 8000.0
+RECOVERY_MS = 20_000.0
+PARTITION_MS = 8000.0
 PRIORITIES = ("cancel", "dear", "cheap")
 
 
 class Chaos:
-    """One random schedule.
+    """A random schedule of actions on a site.
+
+    The order and the names of the actions are the input of the random choice:
+    changing them changes the schedule of every seed.
 
     Attributes:
-        site: what it torments.
-        ledger: what came of it.
-        injected: how often each kind of fault was put in.
+        site: the simulated site.
+        ledger: checks the invariants.
+        injected: number of actions performed, by name.
+        actions: weight and method of each action, by name; the method returns
+            whether it was performed.
     """
 
     def __init__(
@@ -57,10 +63,10 @@
         )
         self.injected: collections.Counter[str] = collections.Counter()
         self._rng = random.Random(seed * 7919 + 1)
-        self._keys: list[tuple[str, list[float]]] = []
+        self._submitted: list[tuple[str, list[float]]] = []
         self._unanswered = 0
-        self._stopping: dict[str, int] = {}
-        self._in_flight: dict[tuple[str, int], list] = {}
+        self._stopping_boxes: dict[str, int] = {}
+        self._requests_by_process: dict[tuple[str, int], list] = {}
         self.actions: dict[str, tuple[float, Callable[[], bool]]] = {
             "submit": (10.0, self.submit),
             "resubmit": (6.0, self.resubmit),
@@ -76,18 +82,18 @@
             "cut_hall": (0.3, self.cut_hall),
             "cut_box": (0.4, self.cut_box),
             "heal": (1.0, self.heal),
-            "bad_network": (0.4, self.worsen),
-            "good_network": (0.4, self.improve),
+            "bad_network": (0.4, self.degrade_network),
+            "good_network": (0.4, self.repair_network),
             "planned_stop": (0.4, self.planned_stop),
             "worker_dies": (0.4, self.kill_worker),
             "worker_returns": (0.8, self.revive_worker),
             "worker_leaves": (0.2, self.leave_worker),
         }
 
-    # Running.
+    # Schedule.
 
     def run(self, steps: int) -> None:
-        """Carries out a schedule of random actions, then rests and checks."""
+        """Performs random actions, then repairs and checks the site."""
         self.site.settle()
         names = list(self.actions)
         weights = [self.actions[name][0] for name in names]
@@ -97,18 +103,18 @@
         self.rest()
 
     def do(self, name: str) -> None:
-        """Carries out one action, if it makes sense now."""
+        """Performs an action, if it is possible now, and counts it."""
         if self.actions[name][1]():
             self.injected[name] += 1
 
     def rest(self) -> None:
-        """Repairs everything, lets the site rest and checks it.
+        """Repairs all faults, waits and checks the site.
 
         Raises:
-            ViolationError: a promise was broken.
-            AssertionError: the site did not come to rest.
+            ViolationError: an invariant was violated.
+            AssertionError: the site did not recover.
         """
-        self.improve()
+        self.repair_network()
         self.heal()
         for box in self.site.boxes.values():
             if box.is_frozen:
@@ -117,95 +123,97 @@
             worker.is_leaving = False
             worker.revive()
         for box in self.site.boxes.values():
-            if box.core is None or box.name in self._stopping:
+            if box.core is None or box.name in self._stopping_boxes:
                 box.crash()
                 box.start()
-        self.site.run(REST_MS)
-        self._check_rest()
-        self._ask_again()
-        self._return_from_silence()
+        self.site.run(RECOVERY_MS)
+        self._check_recovery()
+        self._resubmit_all()
+        self._check_return()
 
-    def _check_rest(self) -> None:
+    def _check_recovery(self) -> None:
         boxes = self.site.boxes.values()
         busy = [box.name for box in boxes if not box.core.entry.is_idle]
-        assert not busy, f"still busy: {busy}"
+        assert not busy, f"boxes still have requests: {busy}"
         not_ready = [box.name for box in boxes if not box.core.is_ready]
-        assert not not_ready, f"not ready: {not_ready}"
+        assert not not_ready, f"boxes not ready: {not_ready}"
         versions = {box.core.cfg.version for box in boxes}
-        assert len(versions) == 1, f"versions differ: {versions}"
-        assert not self._unanswered, f"{self._unanswered} never answered"
-
-    def _ask_again(self) -> None:
-        """Sends every key once more: nothing may start, answers must agree."""
-        for key, run_ms in self._keys:
-            self._send(self._pick_up(), key, run_ms)
-        self.site.run(REST_MS)
-        assert not self._unanswered, f"{self._unanswered} never answered"
-
-    def _return_from_silence(self) -> None:
-        """Cuts a box off for long: its return must depose no leader."""
+        assert len(versions) == 1, f"configuration versions differ: {versions}"
+        assert not self._unanswered, f"requests unanswered: {self._unanswered}"
+
+    def _resubmit_all(self) -> None:
+        """Resubmits every key: nothing may start, answers must be the same."""
+        for key, run_ms in self._submitted:
+            self._submit_at(self._choose_box(), key, run_ms)
+        self.site.run(RECOVERY_MS)
+        assert not self._unanswered, f"requests unanswered: {self._unanswered}"
+
+    def _check_return(self) -> None:
+        """Partitions a box for long: its return must depose no leader."""
         box = self._rng.choice(list(self.site.boxes))
         before = self._leaders(except_box=box)
         self.site.network.cut({box}, set(self.site.boxes) - {box})
-        self.site.run(SILENCE_MS)
+        self.site.run(PARTITION_MS)
         self.site.network.heal()
-        self.site.run(SILENCE_MS)
+        self.site.run(PARTITION_MS)
         after = self._leaders(except_box=box)
         self.ledger.on_return(
             before, {base: after.get(base) for base in before}
         )
 
     def _leaders(self, except_box: str) -> dict[str, tuple[str, int]]:
-        """Returns leader and term of each group that a box does not lead."""
+        """Returns leader and term of each group not led by `except_box`."""
         leaders = {}
         for box in self.site.boxes.values():
             for group in box.core.groups:
                 if group.is_leader:
                     leaders[group.base] = (group.node, group.consensus.term)
         return {
-            base: led
-            for base, led in leaders.items()
-            if box_of(led[0]) != except_box
+            base: leader
+            for base, leader in leaders.items()
+            if box_of(leader[0]) != except_box
         }
 
-    # Callers.
+    # Requests of callers.
 
     def submit(self) -> bool:
         """Submits a new job."""
         hall = self._rng.choice([*self.site.shape.halls, ""])
-        number = len(self._keys)
+        number = len(self._submitted)
         key = f"{hall}:{number}" if hall else f"k{number}"
         count = self._rng.choice((1, 1, 2, 3, 6))
         run_ms = [50.0 + self._rng.random() * 450 for _ in range(count)]
-        self._keys.append((key, run_ms))
-        return self._send(self._pick_up(), key, run_ms)
+        self._submitted.append((key, run_ms))
+        return self._submit_at(self._choose_box(), key, run_ms)
 
     def resubmit(self) -> bool:
-        """Submits a recent job again, anywhere."""
-        if not self._keys:
+        """Resubmits a recent job at a random box."""
+        if not self._submitted:
             return False
-        key, run_ms = self._rng.choice(self._keys[-12:])
-        return self._send(self._pick_up(), key, run_ms)
+        key, run_ms = self._rng.choice(self._submitted[-12:])
+        return self._submit_at(self._choose_box(), key, run_ms)
 
     def submit_twice(self) -> bool:
         """Submits a new job at two boxes at the same moment."""
         self.submit()
-        key, run_ms = self._keys[-1]
-        return self._send(self._pick_up(), key, run_ms)
+        key, run_ms = self._submitted[-1]
+        return self._submit_at(self._choose_box(), key, run_ms)
 
-    def _pick_up(self) -> FakeBox | None:
+    def _choose_box(self) -> FakeBox | None:
         boxes = [box for box in self.site.boxes.values() if box.core]
         return self._rng.choice(boxes) if boxes else None
 
-    def _send(self, box: FakeBox | None, key: str, run_ms: list[float]) -> bool:
+    def _submit_at(
+        self, box: FakeBox | None, key: str, run_ms: list[float]
+    ) -> bool:
         if box is None:
             return False
         incarnation = box.incarnation
         self._unanswered += 1
         is_answered = [False]
-        self._in_flight.setdefault((box.name, incarnation), []).append(
-            (key, is_answered)
-        )
+        self._requests_by_process.setdefault(
+            (box.name, incarnation), []
+        ).append((key, is_answered))
 
         def answered(outcome: Outcome) -> None:
             is_answered[0] = True
@@ -219,54 +227,54 @@
             answered,
             member=MEMBER,
         )
-        self._watch_crash(box, incarnation, is_answered)
+        self._watch_for_crash(box, incarnation, is_answered)
         return True
 
-    def _watch_crash(
+    def _watch_for_crash(
         self, box: FakeBox, incarnation: int, is_answered: list[bool]
     ) -> None:
-        """Counts a caller as answered whose box died: its line broke."""
+        """Counts a request as answered if its box crashes before the answer."""
 
-        def look() -> None:
+        def check() -> None:
             if is_answered[0]:
                 return
             if box.core is None or box.incarnation != incarnation:
                 self._unanswered -= 1
                 is_answered[0] = True
                 return
-            self.site.events.after(500.0, look)
+            self.site.events.after(500.0, check)
 
-        self.site.events.after(500.0, look)
+        self.site.events.after(500.0, check)
 
-    # Operators.
+    # Requests of operators.
 
     def apply(self) -> bool:
-        """Applies a change at a box."""
-        box = self._pick_up()
+        """Applies a changed configuration at a box."""
+        box = self._choose_box()
         return box is not None and self._apply_at(box, box.core.cfg)
 
     def race(self) -> bool:
-        """Applies two files for the same version at two boxes."""
-        one, other = self._pick_up(), self._pick_up()
-        if one is None or one is other:
+        """Applies two configurations for the same version at two boxes."""
+        box, other = self._choose_box(), self._choose_box()
+        if box is None or box is other:
             return False
-        base = one.core.cfg
-        return self._apply_at(one, base) and self._apply_at(other, base)
+        base = box.core.cfg
+        return self._apply_at(box, base) and self._apply_at(other, base)
 
     def _apply_at(self, box: FakeBox, base: Configuration) -> bool:
         if base.version < 1:
             return False
-        wanted = msgspec.structs.replace(
+        cfg = msgspec.structs.replace(
             base,
             replaces=base.version,
             limits=Limits(queue_ms=self._rng.randrange(500, 5000)),
         )
-        return bool(self.site.apply(box.name, wanted))
+        return bool(self.site.apply(box.name, cfg))
 
     # Faults.
 
     def crash(self) -> bool:
-        """Kills a box, unless too many are down for any answer."""
+        """Kills a box, as long as more than half of all boxes run."""
         up = [b for b in self.site.boxes.values() if b.core]
         if len(up) <= len(self.site.boxes) // 2:
             return False
@@ -286,34 +294,35 @@
         if not down:
             return False
         box = self._rng.choice(down)
-        self._stopping.pop(box.name, None)
+        self._stopping_boxes.pop(box.name, None)
         box.start()
         return True
 
     def lose_disk(self) -> bool:
-        """Replaces the disk of a control box, if all others are whole."""
+        """Replaces the disk of a control box, if all control boxes vote."""
         disks = [b for b in self.site.boxes.values() if b.disk]
-        if not all(b.core and self._votes(b) for b in disks):
+        if not all(b.core and self._is_voting(b) for b in disks):
             return False
         box = self._rng.choice(disks)
         box.crash()
         box.lose_disk()
         return True
 
-    def _votes(self, box: FakeBox) -> bool:
+    def _is_voting(self, box: FakeBox) -> bool:
+        """Returns whether a control box votes in a group with all voters."""
         group = box.core.control.group
         return group.is_voter and group.machine.is_open and group.is_whole
 
     def freeze(self) -> bool:
-        """Stops a box without ending it."""
-        box = self._pick_up()
+        """Suspends the process of a box without ending it."""
+        box = self._choose_box()
         if box is None or box.is_frozen:
             return False
         box.freeze()
         return True
 
     def thaw(self) -> bool:
-        """Lets a frozen box go on."""
+        """Resumes a frozen box."""
         frozen = [b for b in self.site.boxes.values() if b.is_frozen]
         if not frozen:
             return False
@@ -321,7 +330,7 @@
         return True
 
     def cut_hall(self) -> bool:
-        """Cuts a hall off from the others."""
+        """Partitions a hall from the others."""
         hall = self._rng.choice(list(self.site.shape.halls))
         inside = self.site.places_in(hall)
         outside = {*self.site.boxes, *self.site.workers} - inside
@@ -329,32 +338,32 @@
         return True
 
     def cut_box(self) -> bool:
-        """Cuts a box off from the other boxes, in silence."""
+        """Partitions a box from the other boxes; its streams stay open."""
         box = self._rng.choice(list(self.site.boxes))
         self.site.network.cut({box}, set(self.site.boxes) - {box})
         return True
 
     def heal(self) -> bool:
-        """Ends all cuts."""
+        """Ends all partitions."""
         self.site.network.heal()
         return True
 
-    def worsen(self) -> bool:
-        """Lets the network drop, double and reorder."""
+    def degrade_network(self) -> bool:
+        """Makes the network drop, duplicate and reorder messages."""
         self.site.network.faults = BAD_NETWORK
         return True
 
-    def improve(self) -> bool:
-        """Lets the network work well."""
+    def repair_network(self) -> bool:
+        """Ends the random faults of the network."""
         self.site.network.faults = GOOD_NETWORK
         return True
 
     def planned_stop(self) -> bool:
-        """Stops a box as planned; it is started again later."""
-        box = self._pick_up()
-        if box is None or box.is_frozen or box.name in self._stopping:
+        """Begins a planned stop of a box; another action restarts it."""
+        box = self._choose_box()
+        if box is None or box.is_frozen or box.name in self._stopping_boxes:
             return False
-        self._stopping[box.name] = box.incarnation
+        self._stopping_boxes[box.name] = box.incarnation
         box.do(lambda core: core.announce_stop())
         incarnation = box.incarnation
         self.site.events.after(
@@ -372,7 +381,7 @@
         if box.incarnation != incarnation or box.core is None:
             return
         if box.core.is_drained:
-            sent = self._in_flight.get((box.name, incarnation), [])
+            sent = self._requests_by_process.get((box.name, incarnation), [])
             for key, is_answered in sent:
                 self.ledger.on_planned_stop_answer(key, is_answered[0])
             box.crash()
@@ -382,7 +391,7 @@
         )
 
     def kill_worker(self) -> bool:
-        """Kills a worker; what it ran is lost."""
+        """Kills a worker; its running tasks are lost."""
         alive = [w for w in self.site.workers.values() if w.is_alive]
         if len(alive) <= len(self.site.workers) // 2:
             return False
@@ -390,7 +399,7 @@
         return True
 
     def revive_worker(self) -> bool:
-        """Brings a dead worker back."""
+        """Restarts a dead worker."""
         dead = [w for w in self.site.workers.values() if not w.is_alive]
         if not dead:
             return False
@@ -398,7 +407,7 @@
         return True
 
     def leave_worker(self) -> bool:
-        """Lets a worker leave; starts after the grace are violations."""
+        """Makes a worker leave; starts after a grace period are violations."""
         staying = [w for w in self.site.workers.values() if not w.is_leaving]
         if len(staying) <= len(self.site.workers) // 2:
             return False
--- a/packages/testbed/src/clayfield/testbed/drills.py
+++ b/packages/testbed/src/clayfield/testbed/drills.py
@@ -1,7 +1,11 @@
-"""Directed failures: each drill plays one that the brief names.
+"""Directed failure tests ("drills") on a simulated site.
 
-A drill runs on a fresh site and raises when a promise is broken. Each ends by
-asking every key again, which must start nothing and give the same bytes.
+A drill causes one kind of failure on a new site and raises an error when an
+invariant is violated. Most drills end by resubmitting every key, which must
+start nothing and return the same bytes.
+
+A key such as `h1:k` names its hall. A claim is the record in the registry of a
+hall that a box runs a key; the group `hall:h1` replicates the claims of `h1`.
 """
 
 from collections.abc import Callable
@@ -22,17 +26,17 @@
 FOUR_BOXES = SiteShape({"h1": 4}, control=3, workers=2, slots=4)
 TWO_HALLS = SiteShape({"h1": 3, "h2": 3}, control=3, workers=2, slots=4)
 TASKS_MS = [80.0, 120.0]
-SETTLED_MS = 1500.0
+SHORT_MS = 1500.0
 LONG_MS = 6000.0
-LIMIT_MS = 20_000.0
+TIMEOUT_MS = 20_000.0
 MANY_CHANGES = 500
 
 
 class Drill:
-    """A site with a few callers.
+    """A site and the answers of its callers.
 
     Attributes:
-        site: it.
+        site: the simulated site.
         answers: all answers, by key.
     """
 
@@ -43,7 +47,7 @@
         self.site.settle()
 
     def submit(self, box: str, key: str, priority: str = "dear") -> None:
-        """Submits a job; its answer will be in `answers`."""
+        """Submits a job; its answer is added to `answers`."""
         answers = self.answers.setdefault(key, [])
         self.site.submit(box, key, priority, TASKS_MS, answers.append)
 
@@ -56,32 +60,41 @@
         for box in self.site.boxes.values():
             if box.core is None:
                 continue
-            for one in box.core.groups:
-                if one.base == group and one.is_leader:
+            for replica in box.core.groups:
+                if replica.base == group and replica.is_leader:
                     return box
-        raise AssertionError(f"nobody leads {group}")
+        raise AssertionError(f"group {group!r} has no leader")
 
     def followers(self, group: str) -> list[FakeBox]:
         """Returns the other boxes of a group."""
         leader = self.leader(group)
         voters = next(
-            one.consensus.members.voters
-            for one in leader.core.groups
-            if one.base == group
+            replica.consensus.members.voters
+            for replica in leader.core.groups
+            if replica.base == group
         )
         names = [box_of(voter) for voter in voters]
         return [self.site.boxes[n] for n in names if n != leader.name]
 
     def cut(self, box: FakeBox) -> None:
-        """Cuts a box off from all other boxes, but not from workers."""
+        """Partitions a box from all other boxes, but not from workers."""
         self.site.network.cut({box.name}, set(self.site.boxes) - {box.name})
 
     def change(self, box: str, base: Configuration, queue_ms: int) -> int:
-        """Applies a change of a limit on top of a configuration."""
-        wanted = msgspec.structs.replace(
+        """Applies a configuration with another queue limit at a box.
+
+        Args:
+            box: name of the box.
+            base: the configuration that it replaces.
+            queue_ms: the new limit, in ms.
+
+        Returns:
+            The number of the request.
+        """
+        cfg = msgspec.structs.replace(
             base, replaces=base.version, limits=Limits(queue_ms=queue_ms)
         )
-        return self.site.apply(box, wanted)
+        return self.site.apply(box, cfg)
 
     def run_until(
         self,
@@ -89,19 +102,24 @@
         step_ms: float = 10.0,
         meanwhile: Callable[[], None] = lambda: None,
     ) -> None:
-        """Lets time pass until something holds.
+        """Advances the simulation until a condition is met.
+
+        Args:
+            is_met: returns whether the condition is met.
+            step_ms: time between two checks, in ms.
+            meanwhile: called after each check that fails.
 
         Raises:
-            AssertionError: it does not for long.
+            AssertionError: the condition is not met in time.
         """
-        end_ms = self.site.events.now_ms() + LIMIT_MS
+        end_ms = self.site.events.now_ms() + TIMEOUT_MS
         while not is_met():
-            assert self.site.events.now_ms() < end_ms, "waited in vain"
+            assert self.site.events.now_ms() < end_ms, "condition not met"
             meanwhile()
             self.site.run(step_ms)
 
-    def ask_again(self) -> None:
-        """Restores the site and asks every key once more, at every box."""
+    def resubmit_all(self) -> None:
+        """Repairs the site and resubmits every key at every box."""
         self.site.network.heal()
         for box in self.site.boxes.values():
             if box.core is None:
@@ -114,40 +132,40 @@
 
 
 def same_key_at_two_boxes(seed: int) -> None:
-    """The same key comes to all boxes of a hall at once."""
+    """A key is submitted at all boxes of a hall at the same time."""
     drill = Drill(seed)
     for box in drill.site.boxes:
         drill.submit(box, "h1:k")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("h1:k") == [200, 200, 200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def same_key_in_two_halls(seed: int) -> None:
-    """The same opaque key comes to two halls at once."""
+    """A key without a hall is submitted in three halls at the same time."""
     drill = Drill(seed, THREE_HALLS)
     for box in ("h1-a", "h2-a", "h3-c"):
         drill.submit(box, "opaque")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("opaque") == [200, 200, 200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def answer_lost(seed: int) -> None:
-    """A caller loses the answer and asks again, elsewhere."""
+    """A caller resubmits at another box and gets the same answer."""
     drill = Drill(seed)
     drill.submit("h1-b", "h1:k")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     drill.submit("h1-c", "h1:k")
     drill.site.run(100)
     first, second = drill.answers["h1:k"]
     assert first.status == 200
     assert first.body == second.body
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def owner_died(seed: int) -> None:
-    """The box that runs a job dies; the key may have run."""
+    """The box that runs a job crashes; its key may have run."""
     drill = Drill(seed)
     drill.submit("h1-b", "h1:k")
     drill.site.run(40)
@@ -156,11 +174,11 @@
     drill.site.run(LONG_MS)
     assert drill.statuses("h1:k") == [502]
     assert b'"ran":"maybe"' in drill.answers["h1:k"][0].body
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def replica_died(seed: int) -> None:
-    """A replica of the claims dies while jobs run; none is harmed."""
+    """A replica of the claims crashes while jobs run; all jobs succeed."""
     drill = Drill(seed)
     replica = drill.followers("hall:h1")[0]
     other = drill.leader("hall:h1").name
@@ -168,31 +186,31 @@
     drill.site.run(20)
     replica.crash()
     drill.submit(other, "h1:l")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("h1:k") == [200]
     assert drill.statuses("h1:l") == [200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def second_lost_after_repair(seed: int) -> None:
-    """A box comes back empty, catches up, and another is lost at once."""
+    """A replica restarts empty and catches up; then another one crashes."""
     drill = Drill(seed)
     first, second = drill.followers("hall:h1")
-    asker = drill.leader("hall:h1").name
-    drill.submit(asker, "h1:k")
-    drill.site.run(SETTLED_MS)
+    leader = drill.leader("hall:h1").name
+    drill.submit(leader, "h1:k")
+    drill.site.run(SHORT_MS)
     first.crash()
     first.start()
     drill.run_until(lambda: first.core.is_ready)
     second.crash()
     drill.submit(first.name, "h1:k")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("h1:k") == [200, 200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def leader_isolated(seed: int) -> None:
-    """The leader of the claims is cut off; it must start nothing new."""
+    """The leader of the claims is partitioned; it must start nothing new."""
     drill = Drill(seed)
     leader = drill.leader("hall:h1")
     other = drill.followers("hall:h1")[0]
@@ -202,11 +220,11 @@
     drill.submit(other.name, "h1:k")
     drill.site.run(LONG_MS)
     assert drill.statuses("h1:k").count(200) == 1
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def empty_voter_returns(seed: int) -> None:
-    """Of a claim's two holders one restarts empty, the other is cut off."""
+    """One replica of a claim restarts empty, the other is partitioned."""
     drill = Drill(seed)
     leader = drill.leader("hall:h1")
     restarted, absent = drill.followers("hall:h1")
@@ -220,11 +238,11 @@
     drill.site.run(LONG_MS)
     drill.submit(absent.name, "h1:k")
     drill.site.run(LONG_MS)
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def hall_cut_off(seed: int) -> None:
-    """A hall is cut off: it serves its own keys and refuses the others."""
+    """A partitioned hall serves its own keys and rejects all others."""
     drill = Drill(seed, THREE_HALLS)
     inside = drill.site.places_in("h2")
     outside = {*drill.site.boxes, *drill.site.workers} - inside
@@ -236,14 +254,14 @@
     assert drill.statuses("h2:k") == [200]
     assert drill.statuses("h1:l") == [200]
     assert drill.statuses("h1:k") == [Kind.NO_REGISTRY.status]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def whole_hall_restarts(seed: int) -> None:
-    """All replicas of a hall lose their memory: earlier keys stay barred."""
+    """All replicas of a hall restart empty; earlier keys stay rejected."""
     drill = Drill(seed, THREE_HALLS)
     drill.submit("h2-a", "h2:k")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     for box in drill.site.boxes_in("h2"):
         box.crash()
     for box in drill.site.boxes_in("h2"):
@@ -251,14 +269,14 @@
     drill.site.run(LONG_MS)
     drill.submit("h2-a", "h2:k")
     drill.submit("h2-b", "h2.2:new")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("h2:k") == [200, Kind.CLAIMS_LOST.status]
     assert drill.statuses("h2.2:new") == [200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def hall_added(seed: int) -> None:
-    """A hall is added, box by box: keys that move there run no second time."""
+    """A hall is added by a rolling restart; moved keys do not run twice."""
     drill = Drill(seed, TWO_HALLS)
     keys = [f"opaque-{number}" for number in range(30)]
     for key in keys:
@@ -274,19 +292,19 @@
             drill.submit("h3-a", key)
         drill.site.run(LONG_MS)
     drill.submit("h3-b", "h3.2:new")
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     assert drill.statuses("h3.2:new") == [200]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def control_box_moved(seed: int) -> None:
-    """A control box gives its part to another, by a rolling restart."""
+    """The control role moves to another box by a rolling restart."""
     drill = Drill(seed, FOUR_BOXES)
     version = 1
     drill.site.move_control("h1-a", "h1-d")
     for name, box in drill.site.boxes.items():
         drill.change(name, box.core.cfg, 600 + version)
-        drill.site.run(SETTLED_MS)
+        drill.site.run(SHORT_MS)
         version += 1
         box.crash()
         box.start()
@@ -296,13 +314,13 @@
     voters = leader.core.control.group.consensus.members.voters
     assert sorted(map(box_of, voters)) == ["h1-b", "h1-c", "h1-d"]
     drill.change("h1-a", leader.core.cfg, 999)
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     versions = {box.core.cfg.version for box in drill.site.boxes.values()}
     assert versions == {version + 1}, f"in force {versions}"
 
 
 def worker_dies(seed: int) -> None:
-    """A worker dies with a task of a job: the job fails as may have run."""
+    """The workers die while they run a job; it fails with TASK_LOST."""
     drill = Drill(seed)
     drill.submit("h1-a", "h1:k")
     drill.site.run(30)
@@ -313,61 +331,61 @@
         worker.revive()
     drill.site.run(LONG_MS)
     assert drill.statuses("h1:k") == [Kind.TASK_LOST.status]
-    drill.ask_again()
+    drill.resubmit_all()
 
 
 def operators_race(seed: int) -> None:
-    """Two files for one version: one wins, the other is told, both times."""
+    """Of two configurations for one version one is rejected, also if resent."""
     drill = Drill(seed)
     base = drill.site.boxes["h1-a"].core.cfg
-    asked = []
+    requests = []
     for _ in range(2):
-        asked += [
+        requests += [
             (box, drill.change(box, base, queue_ms))
             for box, queue_ms in (("h1-a", 700), ("h1-b", 900))
         ]
-        drill.site.run(SETTLED_MS)
-    codes = [drill.site.boxes[b].applied[n].code for b, n in asked]
+        drill.site.run(SHORT_MS)
+    codes = [drill.site.boxes[b].applied[n].code for b, n in requests]
     assert codes[:2] == codes[2:]
     assert sorted(codes[:2]) == ["", Kind.VERSION_RACE.code]
 
 
 def resent_after_many_changes(seed: int) -> None:
-    """A file sent again after 500 changes gets its first answer."""
+    """A configuration resent after 500 changes gets its first answer."""
     drill = Drill(seed)
     base = drill.site.boxes["h1-a"].core.cfg
     first = drill.change("h1-a", base, 777)
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     for number in range(MANY_CHANGES):
         drill.change("h1-a", drill.site.boxes["h1-a"].core.cfg, 500 + number)
         drill.site.run(60)
     again = drill.change("h1-c", base, 777)
-    drill.site.run(SETTLED_MS)
+    drill.site.run(SHORT_MS)
     answers = [
         drill.site.boxes[box].applied[number]
         for box, number in (("h1-a", first), ("h1-c", again))
     ]
-    assert [(one.version, one.code) for one in answers] == [(2, "")] * 2
+    assert [(a.version, a.code) for a in answers] == [(2, "")] * 2
     assert drill.site.boxes["h1-b"].core.cfg.version == MANY_CHANGES + 2
 
 
 def many_changes_missed(seed: int) -> None:
-    """A control box is away for 500 changes, then has them all."""
+    """A control box that was down for 500 changes catches up."""
     drill = Drill(seed)
-    away = drill.followers("control")[0]
-    at = drill.leader("control")
-    away.crash()
+    follower = drill.followers("control")[0]
+    leader = drill.leader("control")
+    follower.crash()
     for number in range(MANY_CHANGES):
-        drill.change(at.name, at.core.cfg, 500 + number)
+        drill.change(leader.name, leader.core.cfg, 500 + number)
         drill.site.run(60)
-    away.start()
+    follower.start()
     drill.site.run(LONG_MS)
-    assert away.core.cfg == at.core.cfg
-    assert away.core.cfg.version == MANY_CHANGES + 1
+    assert follower.core.cfg == leader.core.cfg
+    assert follower.core.cfg.version == MANY_CHANGES + 1
 
 
 def accepted_then_power_lost(seed: int) -> None:
-    """All boxes lose power just after a file was accepted."""
+    """All boxes lose power just after a configuration was accepted."""
     drill = Drill(seed)
     leader = drill.leader("control")
     number = drill.change(leader.name, leader.core.cfg, 777)
@@ -383,13 +401,13 @@
 
 
 def back_from_silence(seed: int) -> None:
-    """A box comes back from a long silence and deposes nobody."""
+    """A box returns from a long partition and deposes no leader."""
     for group in ("hall:h1", "control"):
         drill = Drill(seed)
-        silent = drill.followers(group)[0]
+        follower = drill.followers(group)[0]
         leader = drill.leader(group)
         before = {group: _term_of(leader, group)}
-        drill.cut(silent)
+        drill.cut(follower)
         drill.site.run(60_000)
         drill.site.network.heal()
         drill.site.run(LONG_MS)
@@ -399,12 +417,14 @@
 
 def _term_of(box: FakeBox, group: str) -> int:
     return next(
-        one.consensus.term for one in box.core.groups if one.base == group
+        replica.consensus.term
+        for replica in box.core.groups
+        if replica.base == group
     )
 
 
 def rolling_restart_under_load(seed: int) -> None:
-    """Every box is stopped as planned and started again, under load."""
+    """Every box is stopped as planned and restarted, under load."""
     drill = Drill(seed)
     for name, box in drill.site.boxes.items():
         others = [other for other in drill.site.boxes if other != name]
@@ -430,8 +450,8 @@
 
 
 DRILLS: dict[str, Callable[[int], None]] = {
-    one.__name__: one
-    for one in (
+    drill.__name__: drill
+    for drill in (
         same_key_at_two_boxes,
         same_key_in_two_halls,
         answer_lost,
