--- a/packages/testbed/src/clayfield/testbed/__init__.py
+++ b/packages/testbed/src/clayfield/testbed/__init__.py
@@ -1,6 +1,8 @@
-"""Fakes at a box's interfaces: time, network, disk, workers and callers.
+"""Simulations, fakes and load generators for tests and benchmarks.
 
-For tests and benchmarks; nothing of the product imports it.
+`Site` simulates boxes on a fake clock, network and disk. Other modules
+simulate entry nodes and control nodes, or start real processes on loopback.
+The product does not import this package.
 """
 
 from clayfield.testbed.events import EventQueue
--- a/packages/testbed/src/clayfield/testbed/samples.py
+++ b/packages/testbed/src/clayfield/testbed/samples.py
@@ -1,4 +1,4 @@
-"""Writes the sample files of examples/ from the users' mixes."""
+"""Writes the sample files of examples/ from the workloads of the users."""
 
 import json
 import pathlib
@@ -11,8 +11,8 @@
 SEED = 20
 
 
-def lines_of(name: str) -> list[str]:
-    """Returns the sample jobs of a mix, one JSON object a line."""
+def make_lines(name: str) -> list[str]:
+    """Returns the sample jobs of a mix as lines of JSON."""
     mix = Mix(MIXES[name], SEED)
     lines = []
     at_ms = 0.0
@@ -34,10 +34,10 @@
 
 
 def main() -> None:
-    """Writes one file a mix into the folder given."""
+    """Writes a file for each mix into the folder given as argument."""
     folder = pathlib.Path(sys.argv[1])
     for name in MIXES:
-        text = "\n".join(lines_of(name)) + "\n"
+        text = "\n".join(make_lines(name)) + "\n"
         (folder / f"{name}.jsonl").write_text(text)
 
 
