--- a/packages/testbed/src/clayfield/testbed/processes.py
+++ b/packages/testbed/src/clayfield/testbed/processes.py
@@ -1,4 +1,4 @@
-"""Boxes and stand-ins as real processes on loopback."""
+"""Runs boxes and stand-in workers as processes on loopback, for tests."""
 
 import pathlib
 import signal
@@ -13,34 +13,38 @@
 STOP_TIMEOUT_S = 30.0
 
 
-_given_ports: set[int] = set()
+_used_ports: set[int] = set()
 
 
 def free_port() -> int:
-    """Returns a port of loopback that was free just now, never one twice.
+    """Returns a free port of loopback, a different one at each call.
 
-    The system may offer a port again before whoever got it first listens.
+    The system may offer the same port again until a process listens at it.
     """
     while True:
         with socket.socket() as sock:
             sock.bind(("127.0.0.1", 0))
             port = sock.getsockname()[1]
-        if port not in _given_ports:
-            _given_ports.add(port)
+        if port not in _used_ports:
+            _used_ports.add(port)
             return port
 
 
 def fetch(url: str, timeout_s: float = 5.0) -> bytes:
-    """Returns what a URL of loopback gives."""
+    """Returns the body of the response to a GET request."""
     with urllib.request.urlopen(url, timeout=timeout_s) as response:
         return response.read()
 
 
 def wait_for(is_met: object, what: str) -> None:
-    """Waits until a function returns true.
+    """Waits until a condition is met.
+
+    Args:
+        is_met: a function that returns whether the condition is met.
+        what: the text of the timeout error.
 
     Raises:
-        TimeoutError: it does not for a long time.
+        TimeoutError: the condition is not met within `START_TIMEOUT_S`.
     """
     end_s = time.monotonic() + START_TIMEOUT_S
     while not is_met():
@@ -50,10 +54,10 @@
 
 
 class StandIns:
-    """The process of workers and platform list.
+    """The process that serves the stand-in workers and the worker list.
 
     Attributes:
-        list_url: of the platform list.
+        list_url: URL of the worker list.
     """
 
     def __init__(
@@ -70,11 +74,11 @@
         self.list_url = f"{self._url}/list"
 
     def counts(self) -> bytes:
-        """Returns what the workers saw."""
+        """Returns the counters of the workers, as JSON."""
         return fetch(f"{self._url}/counts")
 
     def leave(self, worker: str) -> None:
-        """Lets a worker begin to leave."""
+        """Marks a worker as leaving."""
         request = urllib.request.Request(
             f"{self._url}/counts?leave={worker}", method="POST"
         )
@@ -82,7 +86,7 @@
 
     @property
     def pid(self) -> int:
-        """The process."""
+        """The process id."""
         return self._process.pid
 
     def stop(self) -> None:
@@ -93,13 +97,13 @@
 
 
 class BoxProcess:
-    """One clayfieldd.
+    """A box that runs as a daemon process.
 
     Attributes:
-        name: of the box.
-        callers: its callers' port.
-        operators: its operators' port.
-        log: its log file.
+        name: name of the box.
+        callers: port of the interface for callers.
+        operators: port of the interface for operators.
+        log: path of its log file.
     """
 
     def __init__(
@@ -139,7 +143,7 @@
         self.start()
 
     def start(self) -> None:
-        """Starts the process, on the ports it had."""
+        """Starts the process, with the same ports at each start."""
         command = [
             *self._command,
             "--callers",
@@ -152,12 +156,12 @@
 
     @property
     def pid(self) -> int:
-        """The process."""
+        """The process id."""
         return self._process.pid
 
     @property
     def is_ready(self) -> bool:
-        """Whether the box says that it is ready."""
+        """Whether the readiness check of the box succeeds."""
         try:
             fetch(f"http://127.0.0.1:{self.operators}/readyz", 1.0)
         except OSError:
@@ -168,12 +172,15 @@
         """Waits until the box is ready.
 
         Raises:
-            TimeoutError: it does not get ready.
+            TimeoutError: the box is not ready within `START_TIMEOUT_S`.
         """
-        wait_for(lambda: self.is_ready, f"{self.name} ready; see {self.log}")
+        wait_for(
+            lambda: self.is_ready,
+            f"box {self.name} is not ready; see {self.log}",
+        )
 
     def cpu_s(self) -> float:
-        """Returns the processor time that the process has used."""
+        """Returns the CPU time used by the process, in seconds."""
         fields = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         parts = fields.rpartition(")")[2].split()
         return (int(parts[11]) + int(parts[12])) / 100
@@ -198,21 +205,21 @@
         self._process.send_signal(number)
 
     def wait(self) -> int:
-        """Waits for the process to end; returns its exit code."""
+        """Waits until the process ends and returns its exit code."""
         return self._process.wait(STOP_TIMEOUT_S)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._process.poll() is None
 
 
 class Cluster:
-    """Boxes and stand-ins together.
+    """The processes of several boxes and of the stand-in workers.
 
     Attributes:
-        boxes: by name.
-        workers: the stand-ins.
+        boxes: the boxes, by name.
+        workers: the process of the stand-in workers.
     """
 
     def __init__(
@@ -263,15 +270,15 @@
         self.stop()
 
     def wait_for_log(self, log: pathlib.Path, event: str) -> None:
-        """Waits until a box's log holds an event.
+        """Waits until a log file contains an event.
 
         Raises:
-            TimeoutError: it does not come.
+            TimeoutError: the event is not logged within `START_TIMEOUT_S`.
         """
         wait_for(lambda: f'"{event}"' in log.read_text(), event)
 
     def stop(self) -> None:
-        """Ends every process that it started."""
+        """Ends the processes of all boxes and workers."""
         for box in self.boxes.values():
             if box.is_running:
                 box.kill()
--- a/packages/testbed/src/clayfield/testbed/standins.py
+++ b/packages/testbed/src/clayfield/testbed/standins.py
@@ -1,8 +1,7 @@
-"""Stand-ins of the world outside, as processes: workers and platform list.
+"""A process that serves stand-in workers and the platform's worker list.
 
-One process serves many workers, each on a port of its own. A task's payload
-is a JSON object; `run_ms` says how long it takes, and the answer is the
-payload itself.
+Each worker listens at a port of its own. The payload of a task is a JSON
+object whose `run_ms` is the duration of the task; the answer is the payload.
 """
 
 import argparse
@@ -13,16 +12,17 @@
 from twisted.web import http, resource, server
 
 LEAVING = "leaving"
-HTTP_UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 
 
 class WorkerResource(resource.Resource):
-    """A worker's `/v1/tasks`.
+    """The resource `/v1/tasks` of a worker.
 
     Attributes:
-        name: of the worker.
-        is_leaving: it refuses new work.
-        starts: how often each task name was started.
+        name: name of the worker.
+        is_leaving: whether it rejects starts because it is being removed.
+        starts: number of starts of each task, by name of the task.
+        refused: number of rejected starts.
     """
 
     isLeaf = True  # noqa: N815 - twisted's name
@@ -37,10 +37,10 @@
         self._running = 0
 
     def render_POST(self, request: http.Request) -> int | bytes:  # noqa: N802
-        """Runs a task, or refuses it before it starts."""
+        """Runs a task, or rejects it before it starts."""
         if self.is_leaving or self._running >= self._slots:
             self.refused += 1
-            request.setResponseCode(HTTP_UNAVAILABLE)
+            request.setResponseCode(SERVICE_UNAVAILABLE)
             request.setHeader(b"clayfield-started", b"no")
             if self.is_leaving:
                 request.setHeader(b"clayfield-leaving", b"true")
@@ -64,7 +64,7 @@
 
 
 class ListResource(resource.Resource):
-    """The platform list."""
+    """The worker list of the platform."""
 
     isLeaf = True  # noqa: N815 - twisted's name
 
@@ -73,17 +73,17 @@
         self._workers = workers
 
     def render_GET(self, request: http.Request) -> bytes:  # noqa: N802
-        """Gives the list."""
+        """Returns the list as JSON."""
         request.setHeader(b"content-type", b"application/json")
-        shown = [
+        workers = [
             {**info, "state": LEAVING if worker.is_leaving else "live"}
             for worker, info in self._workers
         ]
-        return json.dumps({"workers": shown}).encode()
+        return json.dumps({"workers": workers}).encode()
 
 
 class CountsResource(resource.Resource):
-    """What the workers saw, for checks."""
+    """The counters of all workers, for checks."""
 
     isLeaf = True  # noqa: N815 - twisted's name
 
@@ -92,7 +92,7 @@
         self._workers = workers
 
     def render_GET(self, request: http.Request) -> bytes:  # noqa: N802
-        """Gives the counts."""
+        """Returns the counters as JSON."""
         doubled = sum(
             count > 1
             for worker, _ in self._workers
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    """Serves workers and the list; prints the list's port and serves on."""
+    """Serves the workers and the list; prints the port of the list."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--hall", action="append", required=True)
     parser.add_argument("--workers", type=int, default=4)
