--- a/packages/testbed/src/clayfield/testbed/demo.py
+++ b/packages/testbed/src/clayfield/testbed/demo.py
@@ -1,4 +1,4 @@
-"""Runs the users' samples through real boxes and shows how they fared."""
+"""Submits the sample jobs of an example user to boxes and prints statistics."""
 
 import argparse
 import asyncio
@@ -20,7 +20,15 @@
 
 
 class Outcome:
-    """What a caller got for one job."""
+    """The response to one job.
+
+    Attributes:
+        job: the sample job, as read from the sample file.
+        kind: the kind of the job.
+        status: HTTP status, -1 without a response, 0 for a broken connection.
+        body: the body of the response.
+        response_ms: the response time, in ms.
+    """
 
     __slots__ = ("body", "job", "kind", "response_ms", "status")
 
@@ -33,11 +41,11 @@
 
     @property
     def ideal_ms(self) -> float:
-        """The time that the tasks alone would take."""
+        """The duration of the longest task, in ms."""
         return max(task["run_ms"] for task in self.job["tasks"])
 
     def fault(self) -> str:
-        """Returns what is wrong with the answer, "" for nothing."""
+        """Returns the error in the response, "" for none."""
         if self.status <= 0:
             return "missing"
         if self.status != HTTP_OK:
@@ -54,7 +62,16 @@
     ports: list[int],
     key_prefix: str = "",
 ) -> list[Outcome]:
-    """Submits jobs at their times, to the boxes in turn; once a process."""
+    """Submits jobs at their arrival times, to the boxes in turn.
+
+    It installs the reactor, so it can be called only once in a process.
+
+    Args:
+        jobs: the sample jobs, in order of arrival.
+        kinds: the kinds of jobs of the mix.
+        ports: the ports of the boxes for callers.
+        key_prefix: put before each idempotency key.
+    """
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
     from twisted.internet import asyncioreactor
@@ -71,25 +88,25 @@
         for port in ports
         for kind in kinds
     }
-    left = [len(outcomes)]
+    pending = [len(outcomes)]
 
-    def send(number: int, one: Outcome) -> None:
+    def send(number: int, out: Outcome) -> None:
         port = ports[number % len(ports)]
-        body = {k: v for k, v in one.job.items() if k not in ("key", "at_ms")}
+        body = {k: v for k, v in out.job.items() if k not in ("key", "at_ms")}
 
-        def answered(status: int, body: bytes, took_ms: float) -> None:
-            one.status, one.body, one.response_ms = status, body, took_ms
-            left[0] -= 1
-            if not left[0]:
+        def answered(status: int, body: bytes, response_ms: float) -> None:
+            out.status, out.body, out.response_ms = status, body, response_ms
+            pending[0] -= 1
+            if not pending[0]:
                 reactor.stop()
 
-        callers[port, one.kind.token].submit(
-            f"{key_prefix}{one.job['key']}", json.dumps(body).encode(), answered
+        callers[port, out.kind.token].submit(
+            f"{key_prefix}{out.job['key']}", json.dumps(body).encode(), answered
         )
 
-    for number, one in enumerate(outcomes):
-        at_s = SETTLE_S + one.job["at_ms"] / 1000
-        reactor.callLater(at_s, send, number, one)
+    for number, out in enumerate(outcomes):
+        due_s = SETTLE_S + out.job["at_ms"] / 1000
+        reactor.callLater(due_s, send, number, out)
     reactor.callLater(SETTLE_S + jobs[-1]["at_ms"] / 1000 + 30, reactor.stop)
     reactor.run()
     return outcomes
@@ -98,27 +115,31 @@
 def print_table(
     name: str, kinds: tuple[Kind, ...], outcomes: list[Outcome]
 ) -> None:
-    """Prints a line for each class."""
+    """Prints a line for each priority class.
+
+    The columns p50 and p99 are percentiles of the response time divided by
+    the duration of the job's longest task.
+    """
     print(f"\n{name}")
     print(
         f"{'class':<14}{'jobs':>6}{'p50':>8}{'p99':>8}"
         f"{'refused':>9}{'failed':>8}"
     )
     for kind in kinds:
-        own = [one for one in outcomes if one.kind is kind]
-        whole = [one for one in own if one.status == HTTP_OK]
-        ratios = [one.response_ms / one.ideal_ms for one in whole] or [0.0]
-        refused = sum(one.status in (429, 503) for one in own)
-        failed = len(own) - len(whole) - refused
+        of_kind = [out for out in outcomes if out.kind is kind]
+        done = [out for out in of_kind if out.status == HTTP_OK]
+        ratios = [out.response_ms / out.ideal_ms for out in done] or [0.0]
+        refused = sum(out.status in (429, 503) for out in of_kind)
+        failed = len(of_kind) - len(done) - refused
         print(
-            f"{kind.priority:<14}{len(own):>6}"
+            f"{kind.priority:<14}{len(of_kind):>6}"
             f"{np.percentile(ratios, 50):>8.3f}"
             f"{np.percentile(ratios, 99):>8.3f}{refused:>9}{failed:>8}"
         )
 
 
 def main() -> None:
-    """Runs one user's sample; exits 1 when any answer is wrong."""
+    """Runs the sample of a user; exits with 1 if any response is wrong."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("name", choices=sorted(MIXES))
     parser.add_argument("--examples", default="examples", type=pathlib.Path)
@@ -148,17 +169,27 @@
     outcomes: list[Outcome],
     counts: dict,
 ) -> int:
-    """Prints the results; returns the exit code."""
+    """Prints the results.
+
+    Args:
+        name: name of the mix.
+        kinds: the kinds of jobs of the mix.
+        outcomes: the responses to all jobs.
+        counts: the counters of the stand-in workers.
+
+    Returns:
+        The exit code: 0, or 1 if any response is wrong.
+    """
     print_table(name, kinds, outcomes)
-    whole = [one for one in outcomes if one.status == HTTP_OK]
-    tasks = sum(len(one.job["tasks"]) for one in whole)
+    done = [out for out in outcomes if out.status == HTTP_OK]
+    tasks = sum(len(out.job["tasks"]) for out in done)
     wasted = counts["refused"] + counts["starts"] - tasks
     print(
         f"wasted messages per completed task: {wasted / max(1, tasks):.4f}"
         f" ({wasted} of {tasks})"
     )
-    faults = [one.fault() for one in outcomes]
-    wrong = {kind: faults.count(kind) for kind in sorted({*faults} - {""})}
+    errors = [out.fault() for out in outcomes]
+    wrong = {kind: errors.count(kind) for kind in sorted({*errors} - {""})}
     if counts["doubled"]:
         wrong["doubled"] = counts["doubled"]
     if wrong:
--- a/packages/testbed/src/clayfield/testbed/mixes.py
+++ b/packages/testbed/src/clayfield/testbed/mixes.py
@@ -1,7 +1,8 @@
-"""The two users' mixes of work, from the figures of their brief.
+"""Workloads of the two example users.
 
-Tasks take 50 to 500 ms, jobs have one to a few tasks. A mix draws jobs at
-random from a seeded generator, so that each run gives the same.
+A workload (mix) consists of several kinds of jobs. Tasks take 50 to 500 ms,
+and a job has up to eight tasks. A mix draws jobs from a seeded generator, so
+that each run gets the same jobs.
 """
 
 import numpy as np
@@ -11,16 +12,16 @@
     """A kind of job in a mix.
 
     Attributes:
-        job: its name in the example configuration.
-        member: who submits it.
-        token: the member's example token.
-        priority: its class.
-        service: its service.
-        share: of all jobs.
-        low_ms: shortest task.
-        high_ms: longest task.
-        most_tasks: of a job.
-        is_repeatable: whether it may run twice.
+        job: name of the job in the example configuration.
+        member: name of the member (customer) who submits it.
+        token: the example token of the member.
+        priority: name of the priority class.
+        service: name of the service.
+        share: its share of all jobs of the mix.
+        low_ms: duration of the shortest task, in ms.
+        high_ms: duration of the longest task, in ms.
+        most_tasks: largest number of tasks in a job.
+        is_repeatable: whether a lost task may be started again.
     """
 
     __slots__ = (
@@ -62,17 +63,17 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """The mean slot time of a job."""
+        """The mean slot time of a job of this kind, in ms."""
         tasks = (1 + self.most_tasks) / 2
         return tasks * (self.low_ms + self.high_ms) / 2
 
 
 class Job:
-    """One job of a mix.
+    """A job drawn from a mix.
 
     Attributes:
-        kind: what it is.
-        run_ms: the time of each task.
+        kind: the kind of the job.
+        run_ms: the duration of each task, in ms.
     """
 
     __slots__ = ("kind", "run_ms")
@@ -169,7 +170,12 @@
 
 
 class Mix:
-    """Draws jobs of a mix."""
+    """Draws jobs and arrival times at random.
+
+    Args:
+        kinds: the kinds of jobs; their shares add up to 1.
+        seed: the seed of the generator.
+    """
 
     def __init__(self, kinds: tuple[Kind, ...], seed: int):
         self._kinds = kinds
@@ -178,7 +184,7 @@
 
     @property
     def mean_work_ms(self) -> float:
-        """The mean slot time of a job."""
+        """The mean slot time of a job of the mix, in ms."""
         return sum(kind.share * kind.mean_work_ms for kind in self._kinds)
 
     def draw(self) -> Job:
@@ -186,8 +192,8 @@
         kind = self._kinds[self._rng.choice(len(self._kinds), p=self._shares)]
         tasks = int(self._rng.integers(1, kind.most_tasks + 1))
         run_ms = self._rng.uniform(kind.low_ms, kind.high_ms, tasks)
-        return Job(kind, [round(float(one), 1) for one in run_ms])
+        return Job(kind, [round(float(task_ms), 1) for task_ms in run_ms])
 
     def gap_ms(self, jobs_per_s: float) -> float:
-        """Returns the time to the next arrival at a rate."""
+        """Draws the time to the next arrival at a rate, in ms."""
         return float(self._rng.exponential(1000.0 / jobs_per_s))
