--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""The brief's failures: directed drills, random schedules, mutations."""
+"""Failure tests of a simulated site: drills, random schedules, mutations."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from clayfield.testbed.drills import DRILLS
 from clayfield.testbed.mutations import mutated
 
-# Every seed that ever failed, with the steps it took, and a few that did not.
+# Seeds and numbers of steps, among them every seed that once failed.
 SCHEDULES = [
     (0, 150),
     (1, 150),
@@ -25,19 +25,19 @@
 
 
 @pytest.mark.parametrize("name", DRILLS)
-def test_drill(name):
+def test_drill_violates_no_invariant(name):
     DRILLS[name](1)
 
 
 @pytest.mark.parametrize(("seed", "steps"), SCHEDULES)
-def test_random_schedule(seed, steps):
+def test_random_schedule_violates_no_invariant(seed, steps):
     chaos = Chaos(seed)
     chaos.run(steps)
     assert not chaos.ledger.violations
 
 
 @pytest.mark.parametrize(
-    ("mutation", "drill", "promise"),
+    ("mutation", "drill", "error_text"),
     [
         ("no_claim_quorum", "leader_isolated", "starts_at_most_once"),
         ("no_pre_vote", "back_from_silence", "return_deposes_nobody"),
@@ -48,9 +48,9 @@
         ("retry_maybe_started", "worker_dies", "starts_at_most_once"),
     ],
 )
-def test_drill_catches_mutation(mutation, drill, promise):
+def test_drill_detects_mutation(mutation, drill, error_text):
     with (
         mutated(mutation),
-        pytest.raises((ViolationError, AssertionError), match=promise),
+        pytest.raises((ViolationError, AssertionError), match=error_text),
     ):
         DRILLS[drill](1)
--- a/tests/test_stateful.py
+++ b/tests/test_stateful.py
@@ -1,4 +1,4 @@
-"""A site under actions that hypothesis chooses and shrinks."""
+"""Stateful test of a simulated site; hypothesis chooses the actions."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -9,6 +9,7 @@
 ACTIONS = sorted(Chaos(0).actions)
 
 
+# The source of this class, with docstrings, seeds the derandomized draw.
 class SiteMachine(RuleBasedStateMachine):
     """Carries out any actions in any order, then rests and checks."""
 
