--- a/packages/testbed/src/clayfield/testbed/box.py
+++ b/packages/testbed/src/clayfield/testbed/box.py
@@ -257,18 +257,22 @@
         key = sub.key
         is_pending = [True]
 
-        def report(end: TaskEnd, answer: bytes, took_ms: float) -> None:
+        def report(end: TaskEnd, answer: bytes, duration_ms: float) -> None:
             delay_ms = WORKER_DELAY_MS
             if self._network.is_cut(self.name, worker.info.name):
                 return
-            self._events.after(delay_ms, lambda: finish(end, answer, took_ms))
+            self._events.after(
+                delay_ms, lambda: finish(end, answer, duration_ms)
+            )
 
-        def finish(end: TaskEnd, answer: bytes, took_ms: float) -> None:
+        def finish(end: TaskEnd, answer: bytes, duration_ms: float) -> None:
             if is_pending[0]:
                 is_pending[0] = False
                 self._do_if_running(
                     incarnation,
-                    lambda c: c.on_task_end(action.grant, end, answer, took_ms),
+                    lambda c: c.on_task_end(
+                        action.grant, end, answer, duration_ms
+                    ),
                 )
 
         def arrive() -> None:
--- a/packages/testbed/src/clayfield/testbed/fakeworker.py
+++ b/packages/testbed/src/clayfield/testbed/fakeworker.py
@@ -90,13 +90,13 @@
         self.size = size
         self._present: dict[int, list[tuple[FakeWorker, RanTask]]] = {}
 
-    def join(self, worker: "FakeWorker", ran: "RanTask") -> bool:
+    def join(self, worker: "FakeWorker", run: "RanTask") -> bool:
         """Adds a task of a run; returns whether all tasks have started."""
-        members = self._present.setdefault(ran.number, [])
-        members.append((worker, ran))
-        return len(members) == self.size
+        present_runs = self._present.setdefault(run.number, [])
+        present_runs.append((worker, run))
+        return len(present_runs) == self.size
 
-    def members(self, number: int) -> list[tuple["FakeWorker", "RanTask"]]:
+    def present_runs(self, number: int) -> list[tuple["FakeWorker", "RanTask"]]:
         """Returns the tasks that started in a run, with their workers."""
         return list(self._present.get(number, ()))
 
@@ -204,75 +204,75 @@
         return OrderResult.DONE
 
     def _has_capacity(self, task_id: TaskId) -> bool:
-        filling = self._site.filling
-        if task_id.job in filling:
+        batch_jobs = self._site.filling
+        if task_id.job in batch_jobs:
             return True
-        placed = sum(running.job not in filling for running in self._running)
+        placed = sum(running.job not in batch_jobs for running in self._running)
         return (placed + 1) * PLACE_CPU <= self.info.cpu
 
     def _begin(self, request: StartRun) -> None:
         """Records a new run and schedules its end."""
         now_ms = self._site.clock.now_ms()
-        ran = RanTask(request.task_id, request.number, self.info.name, now_ms)
-        self._running[request.task_id] = ran
+        run = RanTask(request.task_id, request.number, self.info.name, now_ms)
+        self._running[request.task_id] = run
         self._last_numbers[request.task_id] = request.number
-        self._site.ran.append(ran)
+        self._site.ran.append(run)
         if request.checkpoint:
-            ran.from_ms = read_checkpoint(request.checkpoint, request.task_id)
+            run.from_ms = read_checkpoint(request.checkpoint, request.task_id)
         kind = EndKind.FAILED if self.is_failing else EndKind.DONE
         spread = self._site.rng.uniform(1 - self.spread, 1 + self.spread)
         gang = self._site.gangs.get((request.task_id.job, request.task_id.step))
         if gang:
-            self._join_gang(gang, ran, kind)
+            self._join_gang(gang, run, kind)
         elif not self.is_hanging:
-            took_ms = max(0.0, self.task_ms * spread - ran.from_ms)
-            self._site.after(took_ms, lambda: self._end(ran, kind))
+            duration_ms = max(0.0, self.task_ms * spread - run.from_ms)
+            self._site.after(duration_ms, lambda: self._end(run, kind))
 
-    def _join_gang(self, gang: FakeGang, ran: RanTask, kind: EndKind) -> None:
+    def _join_gang(self, gang: FakeGang, run: RanTask, kind: EndKind) -> None:
         """Schedules the end of all tasks of a gang once all have started."""
-        if not gang.join(self, ran):
-            expire = functools.partial(self._end_alone, gang, ran)
+        if not gang.join(self, run):
+            expire = functools.partial(self._end_alone, gang, run)
             self._site.after(GANG_TIMEOUT_MS, expire)
             return
-        for worker, member in gang.members(ran.number):
-            end = functools.partial(worker._end, member, kind)
+        for worker, other in gang.present_runs(run.number):
+            end = functools.partial(worker._end, other, kind)
             self._site.after(self.task_ms, end)
 
-    def _end_alone(self, gang: FakeGang, ran: RanTask) -> None:
+    def _end_alone(self, gang: FakeGang, run: RanTask) -> None:
         """Ends a run of a gang whose other tasks have not all started."""
-        if len(gang.members(ran.number)) < gang.size:
-            self._end(ran, EndKind.ALONE)
+        if len(gang.present_runs(run.number)) < gang.size:
+            self._end(run, EndKind.ALONE)
 
-    def _break_gang(self, ran: RanTask) -> None:
+    def _break_gang(self, run: RanTask) -> None:
         """Ends the other tasks of a gang after one of them did not succeed."""
-        gang = self._site.gangs.get((ran.task_id.job, ran.task_id.step))
-        for worker, member in gang.members(ran.number) if gang else ():
-            worker._end(member, EndKind.BROKEN)
+        gang = self._site.gangs.get((run.task_id.job, run.task_id.step))
+        for worker, other in gang.present_runs(run.number) if gang else ():
+            worker._end(other, EndKind.BROKEN)
 
-    def _end(self, ran: RanTask, kind: EndKind) -> None:
+    def _end(self, run: RanTask, kind: EndKind) -> None:
         """Ends a run, if it is running, and replies to the pending polls."""
-        if self._running.get(ran.task_id) is not ran:
+        if self._running.get(run.task_id) is not run:
             return
-        del self._running[ran.task_id]
-        ran.end_ms = self._site.clock.now_ms()
-        ran.kind = kind
+        del self._running[run.task_id]
+        run.end_ms = self._site.clock.now_ms()
+        run.kind = kind
         self._sequence += 1
         self._ended.append(
             EndedRow(
                 self._sequence,
-                ran.task_id,
-                ran.number,
+                run.task_id,
+                run.number,
                 kind,
-                self._checkpoint(ran),
+                self._checkpoint(run),
             )
         )
-        self._unacked[self._sequence] = ran
+        self._unacked[self._sequence] = run
         pending = self._pending_polls
         self._pending_polls = []
         for reply in pending:
             reply()
         if kind is not EndKind.DONE:
-            self._break_gang(ran)
+            self._break_gang(run)
 
     def stop(self, request: StopRun) -> OrderResult:
         """Handles a stop request: stops the run or bars its later start."""
@@ -281,32 +281,32 @@
         self._fence = request.fence
         last_number = self._last_numbers.get(request.task_id, 0)
         self._last_numbers[request.task_id] = max(last_number, request.number)
-        ran = self._running.get(request.task_id)
-        if ran and ran.number == request.number:
+        run = self._running.get(request.task_id)
+        if run and run.number == request.number:
             self._site.after(
-                STOP_DELAY_MS, lambda: self._end(ran, EndKind.STOPPED)
+                STOP_DELAY_MS, lambda: self._end(run, EndKind.STOPPED)
             )
         return OrderResult.DONE
 
     def pace(self, request: PaceRun) -> None:
         """Handles a throttle request; it takes effect after a delay."""
-        ran = self._running.get(request.task_id)
-        if request.fence < self._fence or ran is None:
+        run = self._running.get(request.task_id)
+        if request.fence < self._fence or run is None:
             return
         set_percent = functools.partial(
-            setattr, ran, "percent", request.percent
+            setattr, run, "percent", request.percent
         )
         self._site.after(THROTTLE_DELAY_MS, set_percent)
 
     @property
     def tail_ms(self) -> float:
         """Tail latency of the latency-sensitive tasks, in ms."""
-        filling = [
-            ran.percent / 100
-            for ran in self._running.values()
-            if ran.task_id.job in self._site.filling
+        speeds = [
+            run.percent / 100
+            for run in self._running.values()
+            if run.task_id.job in self._site.filling
         ]
-        return IDLE_TAIL_MS + self.disturb_ms * sum(filling)
+        return IDLE_TAIL_MS + self.disturb_ms * sum(speeds)
 
     def hold(
         self, request: HoldWorker, send_reply: Callable[[HoldAnswer], None]
@@ -349,20 +349,20 @@
     def _make_reply(self) -> HoldAnswer:
         running = [
             RunningRow(
-                ran.task_id,
-                ran.number,
-                ran.percent,
-                self._checkpoint(ran),
+                run.task_id,
+                run.number,
+                run.percent,
+                self._checkpoint(run),
                 self.tail_ms,
             )
-            for ran in self._running.values()
+            for run in self._running.values()
         ]
         now_ms = self._site.clock.now_ms()
         return HoldAnswer(OrderResult.DONE, now_ms, running, self._ended[:])
 
-    def _checkpoint(self, ran: RanTask) -> str:
-        elapsed_ms = self._site.clock.now_ms() - ran.start_ms
-        return write_checkpoint(ran.task_id, ran.from_ms + elapsed_ms)
+    def _checkpoint(self, run: RanTask) -> str:
+        elapsed_ms = self._site.clock.now_ms() - run.start_ms
+        return write_checkpoint(run.task_id, run.from_ms + elapsed_ms)
 
     def _renew(self, until_ms: float) -> None:
         """Renews the lease and schedules the check for its expiry."""
@@ -377,5 +377,5 @@
         if self._site.clock.now_ms() < self._lease_until_ms:
             return
         self._unacked.clear()
-        for ran in list(self._running.values()):
-            self._end(ran, EndKind.LAPSED)
+        for run in list(self._running.values()):
+            self._end(run, EndKind.LAPSED)
--- a/packages/testbed/src/clayfield/testbed/poolsite.py
+++ b/packages/testbed/src/clayfield/testbed/poolsite.py
@@ -296,9 +296,9 @@
     def ends(self, job: str, kind: EndKind) -> list[RanTask]:
         """Returns the runs of a job that ended with the given kind."""
         return [
-            ran
-            for ran in self.ran
-            if ran.task_id.job == job and ran.kind is kind
+            run
+            for run in self.ran
+            if run.task_id.job == job and run.kind is kind
         ]
 
     def silence(self, worker: str) -> None:
@@ -341,13 +341,13 @@
     def started_after_done(self) -> list[tuple[RanTask, RanTask]]:
         """Returns pairs of an acknowledged end and a later run of the task."""
         done = [
-            ran for ran in self.ran if ran.kind is EndKind.DONE and ran.is_noted
+            run for run in self.ran if run.kind is EndKind.DONE and run.is_noted
         ]
         return [
-            (ended, ran)
+            (ended, run)
             for ended in done
-            for ran in self.ran
-            if ran.task_id == ended.task_id and ran.start_ms > ended.end_ms
+            for run in self.ran
+            if run.task_id == ended.task_id and run.start_ms > ended.end_ms
         ]
 
     def faults(self) -> list[object]:
@@ -356,17 +356,17 @@
         These are pairs of overlapping runs of one task, starts on a worker
         without free CPU, and runs of a gang whose other tasks never started.
         """
-        alone = [ran for ran in self.ran if ran.kind is EndKind.ALONE]
+        alone = [run for run in self.ran if run.kind is EndKind.ALONE]
         return [*self.runs_together(), *self.over_room, *alone]
 
     def runs_together(self) -> list[tuple[RanTask, RanTask]]:
         """Returns the pairs of runs of one task that overlapped in time."""
         by_task: dict[TaskId, list[RanTask]] = {}
-        for ran in self.ran:
-            by_task.setdefault(ran.task_id, []).append(ran)
+        for run in self.ran:
+            by_task.setdefault(run.task_id, []).append(run)
         pairs: list[tuple[RanTask, RanTask]] = []
         for runs in by_task.values():
-            runs.sort(key=lambda ran: ran.start_ms)
+            runs.sort(key=lambda run: run.start_ms)
             for first, second in zip(runs, runs[1:], strict=False):
                 if first.end_ms is None or first.end_ms > second.start_ms:
                     pairs.append((first, second))
