--- a/packages/base/src/clayfield/base/errors.py
+++ b/packages/base/src/clayfield/base/errors.py
@@ -74,7 +74,7 @@
         "CF201",
         429,
         "capacity is short and this class is the cheapest waiting",
-        "Send again after Retry-After, or use a class with a higher price.",
+        "Send again after Retry-After, or use a dearer class.",
     )
     QUOTA = _Spec(
         "CF202",
--- a/packages/box/src/clayfield/box/applies.py
+++ b/packages/box/src/clayfield/box/applies.py
@@ -54,7 +54,7 @@
                 number,
                 version,
                 code,
-                "No leader of the control log replied in time.",
+                "No leader answered.",
             )
             for number, _ in expired
         ]
--- a/packages/box/src/clayfield/box/core.py
+++ b/packages/box/src/clayfield/box/core.py
@@ -228,13 +228,9 @@
         if not self.cfg.version:
             return Problem(Kind.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
         if service not in self.cfg.services:
-            return Problem(
-                Kind.NOT_FOUND, f"The configuration has no service {service!r}."
-            )
+            return Problem(Kind.NOT_FOUND, f"Service {service!r}.")
         if priority not in self.cfg.classes:
-            return Problem(
-                Kind.NOT_FOUND, f"The configuration has no class {priority!r}."
-            )
+            return Problem(Kind.NOT_FOUND, f"Class {priority!r}.")
         return None
 
     def look_up(self, member: str, key: str, waiter: object) -> None:
--- a/packages/cli/src/clayfield/cli/commands.py
+++ b/packages/cli/src/clayfield/cli/commands.py
@@ -140,9 +140,7 @@
 async def check(ctx: Context, flags: argparse.Namespace) -> int:
     """Checks a configuration file without applying it."""
     cfg = _parse(ctx, flags.file)
-    ctx.print(
-        {"version": cfg.version}, f"valid; would be version {cfg.version}"
-    )
+    ctx.print({"version": cfg.version}, f"sound; would be {cfg.version}")
     return EXIT_OK
 
 
@@ -178,12 +176,9 @@
     ctx.progress("")
     text = f"version {version} is in force"
     if outdated:
-        text = (
-            f"accepted as version {version};"
-            f" not in force on {', '.join(outdated)}"
-        )
+        text = f"accepted as {version}; not in force on {', '.join(outdated)}"
     if unreachable:
-        text += f"; not reachable: {', '.join(unreachable)}"
+        text += f"; not reached: {', '.join(unreachable)}"
     ctx.print(
         {"version": version, "late": outdated, "unreached": unreachable}, text
     )
@@ -251,7 +246,7 @@
             f" term {group['term']}, voters {', '.join(group['voters'])}"
         )
     for peer in box["peers"]:
-        state = "live" if peer["is_live"] else "unreachable"
+        state = "live" if peer["is_live"] else "silent"
         lines.append(
             f"  peer {peer['box']} in {peer['hall']}: {state},"
             f" configuration {peer['config_version']}"
--- a/packages/config/src/clayfield/config/parse.py
+++ b/packages/config/src/clayfield/config/parse.py
@@ -68,7 +68,7 @@
             if field is None:
                 names = ", ".join(fields)
                 self._add_diagnostic(
-                    child, child_path, "unknown field", f"Use one of: {names}."
+                    child, child_path, "unknown field", f"Use {names}."
                 )
             else:
                 values[name] = self._read(child, field.type, child_path)
@@ -108,7 +108,7 @@
             value = loader.construct_object(node, deep=True)
         except yaml.YAMLError as exc:
             self._add_diagnostic(
-                node, path, f"invalid YAML value: {exc}", "Correct it."
+                node, path, f"cannot be read: {exc}", "Correct it."
             )
             return None
         return self._convert(node, value, expected_type, path)
@@ -120,7 +120,7 @@
             return msgspec.convert(value, expected_type)
         except msgspec.ValidationError as exc:
             self._add_diagnostic(
-                node, path, str(exc), "Write a value of that type."
+                node, path, str(exc), "Write a value of that kind."
             )
             return value
 
@@ -143,7 +143,7 @@
             self._lines[child_path] = key.start_mark.line + 1
             if name in names:
                 self._add_diagnostic(
-                    key, child_path, "duplicate name", "Remove one."
+                    key, child_path, "stands twice", "Keep one."
                 )
                 continue
             names.add(name)
@@ -165,7 +165,7 @@
             self._add_diagnostic_at(
                 "operators",
                 "no operator has a token",
-                "Declare one; without it no further file can be applied.",
+                "Declare one, or nobody could apply the next file.",
             )
         for name, job in (values.get("jobs") or {}).items():
             self._check_name(f"jobs.{name}.service", job, "service", services)
@@ -189,8 +189,8 @@
             if other != name:
                 self._add_diagnostic_at(
                     f"classes.{name}",
-                    f"has the same price as {other}",
-                    "Give each class a different price.",
+                    f"has the price of {other}",
+                    "Give each class a price of its own.",
                 )
 
     def _check_tokens(self, values: dict) -> None:
@@ -204,7 +204,7 @@
                         self._add_diagnostic_at(
                             path,
                             f"shares a token with {other}",
-                            "Give each member and operator its own tokens.",
+                            "Give each a token of its own.",
                         )
 
     def _add_diagnostic(
--- a/packages/daemon/src/clayfield/daemon/callers.py
+++ b/packages/daemon/src/clayfield/daemon/callers.py
@@ -199,7 +199,7 @@
         if submission.member != member:
             raise ClayfieldError(
                 Kind.FORBIDDEN,
-                f"The token does not belong to member {submission.member!r}.",
+                f"Member {submission.member!r}.",
             )
         submission, refusal = fill_in(submission, self._callers.cfg)
         self._submit(request, key, body, submission, is_first, refusal)
@@ -295,7 +295,7 @@
         and key.isprintable()
     )
     if not is_valid:
-        raise ClayfieldError(Kind.BAD_KEY, f"The key is {key!r}.")
+        raise ClayfieldError(Kind.BAD_KEY, f"It is {key!r}.")
     return key
 
 
@@ -312,7 +312,7 @@
         job = cfg.jobs.get(submission.job)
         if job is None:
             return submission, Problem(
-                Kind.NOT_FOUND, f"Job {submission.job!r} is not configured."
+                Kind.NOT_FOUND, f"Job {submission.job!r}."
             )
         submission = msgspec.structs.replace(
             submission,
@@ -327,8 +327,6 @@
         )
     max_tasks = cfg.limits.tasks_per_job
     if len(submission.tasks) > max_tasks:
-        detail = (
-            f"{len(submission.tasks)} tasks exceed tasks_per_job {max_tasks}."
-        )
+        detail = f"{len(submission.tasks)} tasks, tasks_per_job {max_tasks}."
         return submission, Problem(Kind.TOO_LARGE, detail)
     return submission, None
--- a/packages/daemon/src/clayfield/daemon/http.py
+++ b/packages/daemon/src/clayfield/daemon/http.py
@@ -45,7 +45,7 @@
             super().gotLength(0)
             self._refuse(
                 Kind.TOO_LARGE,
-                f"The body exceeds body_bytes {limits.body_bytes()}.",
+                f"body_bytes {limits.body_bytes()}",
             )
             return
         super().gotLength(length)
@@ -56,7 +56,7 @@
         if self._is_refused:
             return
         if self._received_bytes > self._limits.body_bytes():
-            detail = f"The body exceeds body_bytes {self._limits.body_bytes()}."
+            detail = f"body_bytes {self._limits.body_bytes()}"
             self._refuse(Kind.TOO_LARGE, detail)
             return
         super().handleContentChunk(data)
@@ -81,9 +81,7 @@
             self._timer.cancel()
 
     def _on_timeout(self) -> None:
-        self._refuse(
-            Kind.TOO_SLOW, f"The limit is request_ms {self._limits.request_ms}."
-        )
+        self._refuse(Kind.TOO_SLOW, f"request_ms {self._limits.request_ms}")
 
     def _refuse(self, kind: Kind, detail: str) -> None:
         """Sends an error before the request is complete, then closes.
--- a/packages/daemon/src/clayfield/daemon/metrics.py
+++ b/packages/daemon/src/clayfield/daemon/metrics.py
@@ -20,44 +20,40 @@
         self._registry = Registry()
         self._slowdown = Histogram(
             "clayfield_slowdown",
-            "Response time divided by that of the longest task, by class.",
+            "Response over the time of the longest task, by class.",
             buckets=SLOWDOWN_BUCKETS,
             registry=self._registry,
         )
         self._response = Histogram(
             "clayfield_response_ms",
-            "Response time in ms, by class.",
+            "Response in ms, by class.",
             buckets=RESPONSE_BUCKETS,
             registry=self._registry,
         )
         self._totals = {
             name: self._counter(name, text)
             for name, text in (
-                ("submitted", "Submissions accepted."),
-                ("resubmitted", "Submissions whose key was already running."),
+                ("submitted", "Submissions taken."),
+                ("resubmitted", "Submissions that joined an open one."),
                 ("starts", "Task starts sent to workers."),
-                ("answered", "Task answers received."),
-                ("retries", "Task starts repeated."),
-                ("wasted", "Task starts whose result was missing or unused."),
-                ("late_answers", "Task answers that came too late."),
+                ("answered", "Task answers taken."),
+                ("retries", "Starts sent again."),
+                ("wasted", "Starts that brought no result."),
+                ("late_answers", "Answers that nobody waited for."),
             )
         }
-        self._refused = self._counter(
-            "refused", "Refused submissions, by error code."
-        )
-        self._finished = self._counter(
-            "finished", "Finished submissions, by HTTP status."
-        )
+        self._refused = self._counter("refused", "Refusals, by code.")
+        self._finished = self._counter("finished", "Ends, by HTTP status.")
         self._gauges = {
             name: self._gauge(name, text)
             for name, text in (
-                ("open_submissions", "Submissions without an answer."),
-                ("held_slots", "Slots granted to this box."),
+                ("open_submissions", "Submissions without an answer yet."),
+                ("held_slots", "Slots that this box holds."),
                 ("config_version", "The configuration version in force."),
                 ("ready", "Whether the box is ready, 1 or 0."),
-                ("queued_work_ms", "Slot time queued at the scheduler, in ms."),
-                ("free_slots", "Free slots, on the box that schedules."),
-                ("claims", "Claims in the registry, by hall."),
+                ("queued_work_ms", "Slot time that waits at the scheduler."),
+                ("free_slots", "Free slots, where this box schedules."),
+                ("claims", "Claims held, by hall."),
             )
         }
 
--- a/packages/daemon/src/clayfield/daemon/workers.py
+++ b/packages/daemon/src/clayfield/daemon/workers.py
@@ -113,7 +113,7 @@
                 error=str(exc),
             )
             self.transport.abortConnection()
-            self._finish(TaskEnd.LOST, b"malformed HTTP response")
+            self._finish(TaskEnd.LOST, b"broken answer")
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
         """Ends the pending request, whose task may have run."""
@@ -132,7 +132,7 @@
         self._body += body
         if len(self._body) > MAX_ANSWER_BYTES:
             self.transport.abortConnection()
-            self._finish(TaskEnd.FAILED, b"response body too large")
+            self._finish(TaskEnd.FAILED, b"answer too large")
 
     def on_message_complete(self) -> None:
         """Ends the request; returns the connection to the pool if it can."""
--- a/packages/dispatch/src/clayfield/dispatch/entry.py
+++ b/packages/dispatch/src/clayfield/dispatch/entry.py
@@ -288,7 +288,7 @@
                 self._release_unused(sub)
                 self._finish(sub, reply.outcome)
             case v if v == CLAIM_LOST:
-                detail = "The home hall lost its earlier claims."
+                detail = "Its hall lost all claims of earlier times."
                 self._fail(sub, Problem(Kind.CLAIMS_LOST, detail, Ran.MAYBE))
             case v if v == CLAIM_UNAVAILABLE:
                 self._fail(
@@ -508,7 +508,7 @@
             self._cancel_request(sub)
             self._send_request(sub)
             return
-        detail = f"The last attempt at task {task} ended as {end.text}."
+        detail = f"Task {task} ended as {end.text}."
         if end.may_have_started:
             problem = Problem(Kind.TASK_LOST, detail)
         else:
@@ -631,7 +631,7 @@
 
     def _tick_following(self, sub: Submission, now_ms: float) -> None:
         if now_ms - sub.owner_heard_ms >= FOLLOW_TIMEOUT_MS:
-            detail = "The owner does not respond; its claim stays recorded."
+            detail = "It does not answer now; the claim stays recorded."
             problem = Problem(
                 Kind.OWNER_LOST, detail, Ran.MAYBE, RETRY_AFTER_MS
             )
@@ -643,7 +643,7 @@
         if now_ms - sub.arrived_ms >= CLAIM_TIMEOUT_MS:
             problem = Problem(
                 Kind.NO_REGISTRY,
-                "The home hall did not reply to the claim in time.",
+                "It did not answer in time.",
                 Ran.NO,
                 RETRY_AFTER_MS,
             )
@@ -654,4 +654,4 @@
     def _expire(self, sub: Submission) -> None:
         is_following = sub.phase is Phase.FOLLOWING
         ran = Ran.MAYBE if is_following or sub.start_count else Ran.NO
-        self._fail(sub, Problem(Kind.DEADLINE, "The deadline has passed.", ran))
+        self._fail(sub, Problem(Kind.DEADLINE, "It has passed.", ran))
--- a/packages/dispatch/src/clayfield/dispatch/scheduler.py
+++ b/packages/dispatch/src/clayfield/dispatch/scheduler.py
@@ -183,7 +183,7 @@
                 queued.node,
                 queued.request,
                 Kind.NOT_FOUND,
-                "The service or the priority class was removed.",
+                "Its service or class is gone.",
                 0,
             )
             return
@@ -244,7 +244,7 @@
                 node,
                 request,
                 Kind.NOT_FOUND,
-                "The service or the priority class is not declared.",
+                "Unknown service.",
                 0,
             )
             return
@@ -282,7 +282,7 @@
         if not self._has_worker(service):
             return (
                 Kind.NO_WORKER,
-                f"Pool {service.pool!r} has no suitable worker.",
+                f"Pool {service.pool!r}.",
                 1000,
             )
         member = self._cfg.members.get(queued.request.member)
@@ -290,14 +290,14 @@
         queued_tasks = pool.queue.tasks_by_member.get(queued.request.member, 0)
         is_over = limit and queued_tasks + queued.missing > limit
         if is_over and not self._is_top_class(queued.request):
-            detail = f"{queued_tasks} tasks are queued; the limit is {limit}."
+            detail = f"{queued_tasks} tasks wait, {limit} may."
             return Kind.QUOTA, detail, self._drain_ms(pool, queued.rank)
         wait_ms = self._drain_ms(pool, queued.rank - 1)
         end_ms = self._clock.now_ms() + wait_ms + queued.task_ms
         if end_ms > queued.deadline_ms:
             return (
                 Kind.DEADLINE,
-                f"The expected wait for a slot is {wait_ms} ms.",
+                f"{wait_ms} ms of work go before it.",
                 wait_ms,
             )
         return None
@@ -339,7 +339,7 @@
                     victim,
                     pool,
                     Kind.QUEUE_FULL,
-                    "The queued work exceeds limits.queue_ms.",
+                    "The work that waits exceeds limits.queue_ms.",
                 )
 
     def _queue_limit_ms(self, pool: _Pool, rank: int) -> float:
@@ -505,7 +505,7 @@
                     queued,
                     pool,
                     Kind.DEADLINE,
-                    "No slot became free in time.",
+                    "It waited too long.",
                 )
             elif now_ms >= queued.next_check_ms:
                 queued.next_check_ms = now_ms + WORKER_CHECK_MS
@@ -518,7 +518,7 @@
                 queued,
                 pool,
                 Kind.NO_WORKER,
-                f"Pool {queued.pool!r} has no suitable worker.",
+                f"Pool {queued.pool!r}.",
             )
 
     def assign(self) -> None:
--- a/packages/node/src/clayfield/node/own/callers.py
+++ b/packages/node/src/clayfield/node/own/callers.py
@@ -144,7 +144,7 @@
         if reply is None or not reply.is_sure:
             return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
         if reply.state is None:
-            return _problem(Kind.NOT_FOUND, "No kept job has this key.")
+            return _problem(Kind.NOT_FOUND, "No such job is kept.")
         return HttpReply(200, msgspec.json.encode(_State(reply.state)))
 
     def write_count_reply(self, waiting: int) -> HttpReply:
@@ -160,9 +160,7 @@
             return CancelCall(key)
         case "GET":
             return StateCall(key)
-    raise ClayfieldError(
-        Kind.NOT_FOUND, f"{request.method} is not supported here."
-    )
+    raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
 
 
 def _read_job(content: bytes, route: Route, key: str) -> Job:
@@ -178,9 +176,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise ClayfieldError(Kind.BAD_JSON, f"{exc}.") from exc
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
-        raise ClayfieldError(
-            Kind.TOO_LARGE, f"spec is longer than {MAX_SPEC_BYTES} bytes."
-        )
+        raise ClayfieldError(Kind.TOO_LARGE, f"spec over {MAX_SPEC_BYTES}.")
     steps = tuple(_to_step(step) for step in body.steps)
     error = find_step_fault(steps)
     if error:
@@ -191,9 +187,7 @@
         key, body.spec, steps, timeout_ms, body.keep, body.schedule
     )
     if job.task_count > MAX_TASKS:
-        raise ClayfieldError(
-            Kind.TOO_LARGE, f"job has more than {MAX_TASKS} tasks."
-        )
+        raise ClayfieldError(Kind.TOO_LARGE, f"over {MAX_TASKS} tasks.")
     return job
 
 
@@ -203,7 +197,7 @@
     if schedule.repeats < 1 or schedule.interval_ms < 0:
         raise ClayfieldError(
             Kind.BAD_FIELD,
-            "schedule: repeats must be above 0 and interval_ms at least 0.",
+            "schedule: repeats is not above 0, or interval_ms is below 0.",
         )
 
 
--- a/packages/node/src/clayfield/node/own/operators.py
+++ b/packages/node/src/clayfield/node/own/operators.py
@@ -127,9 +127,7 @@
     if request.method == "GET":
         return ReadCall()
     if request.method != "PUT":
-        raise ClayfieldError(
-            Kind.NOT_FOUND, f"{request.method} is not supported here."
-        )
+        raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
     routing = _decode(request.body, _routing_decoder)
     _validate(routing)
     return WriteCall(routing.version, request.body)
@@ -143,18 +141,16 @@
     """
     problems: list[str] = []
     if routing.version < 1:
-        problems.append(f"version {routing.version} must be above 0.")
+        problems.append(f"version {routing.version} is not above 0.")
     services = {service.name for service in routing.services}
     queue_ids: set[tuple[str, str]] = set()
     for queue in routing.queues:
         if queue.service not in services:
-            problems.append(
-                f"{queue.name}: no service {queue.service!r} exists."
-            )
+            problems.append(f"{queue.name}: no service {queue.service!r}.")
         if queue.timeout_ms <= 0:
-            problems.append(f"{queue.name}: timeout_ms must be above 0.")
+            problems.append(f"{queue.name}: timeout_ms is not above 0.")
         if (queue.host, queue.name) in queue_ids:
-            problems.append(f"{queue.name}: is listed twice.")
+            problems.append(f"{queue.name}: stands twice.")
         queue_ids.add((queue.host, queue.name))
     if problems:
         raise ClayfieldError(Kind.BAD_CONFIG, " ".join(problems))
@@ -164,9 +160,7 @@
     if request.method == "DELETE":
         return LeaveCall(name)
     if request.method != "PUT":
-        raise ClayfieldError(
-            Kind.NOT_FOUND, f"{request.method} is not supported here."
-        )
+        raise ClayfieldError(Kind.NOT_FOUND, f"{request.method} is not served.")
     heartbeat = _decode(request.body, _statement_decoder)
     return StatementCall(
         WorkerInfo(
--- a/packages/pool/src/clayfield/pool/worker.py
+++ b/packages/pool/src/clayfield/pool/worker.py
@@ -263,7 +263,7 @@
             now_ms: the current time.
         """
         self._add_speed_sample(work_ms / passed_ms)
-        self.set_aside(now_ms, "run hung")
+        self.set_aside(now_ms, "run stuck")
 
     def _add_speed_sample(self, sample: float) -> None:
         sample = min(MAX_SPEED, max(MIN_SPEED, sample))
--- a/packages/state/src/clayfield/state/configlog.py
+++ b/packages/state/src/clayfield/state/configlog.py
@@ -158,8 +158,8 @@
             return ApplyResult(
                 self.version,
                 Kind.VERSION_RACE.code,
-                f"The file replaces version {replaces}, which was never"
-                f" accepted; version {self.version} is in force.",
+                f"Version {replaces} was never accepted, {self.version} is"
+                " in force.",
             )
         start = replaces * DIGEST_BYTES
         if self._digests[start : start + DIGEST_BYTES] == digest:
@@ -167,8 +167,8 @@
         return ApplyResult(
             self.version,
             Kind.VERSION_RACE.code,
-            f"Version {replaces} was already replaced by another file; version"
-            f" {self.version} is in force.",
+            f"Version {replaces} was replaced by another file; {self.version}"
+            " is in force.",
         )
 
     def opening_for(
--- a/packages/wire/src/clayfield/wire/jobs.py
+++ b/packages/wire/src/clayfield/wire/jobs.py
@@ -64,12 +64,12 @@
 def find_step_fault(steps: tuple[Step, ...]) -> str:
     """Returns the first error in the steps of a job, "" if there is none."""
     if not steps:
-        return "steps is empty; name at least one step."
+        return "steps: name at least one."
     for number, step in enumerate(steps):
         if step.count < 1:
-            return f"steps[{number}].count must be above 0."
+            return f"steps[{number}].count is not above 0."
         if any(not 0 <= earlier < number for earlier in step.after):
-            return f"steps[{number}].after must name only earlier steps."
+            return f"steps[{number}].after is no earlier step."
     return ""
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -55,7 +55,7 @@
             "classes:\n  other: {price: 5}",
             5,
             "classes.dear",
-            "has the same price as other",
+            "has the price of other",
         ),
         (
             "services:",
@@ -71,7 +71,7 @@
             "operators.o",
             "shares a token",
         ),
-        ("halls:", "replaces: 4\nhalls:", 2, "replaces", "duplicate name"),
+        ("halls:", "replaces: 4\nhalls:", 2, "replaces", "stands twice"),
         (TOKEN, "secret", 6, "operators.o.tokens", "regex"),
         (f"[{TOKEN}]", "[]", 6, "operators", "no operator has a token"),
         ("dear: {", "dear: {{", 4, "", "not YAML"),
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -246,7 +246,7 @@
         ({"services": []}, "no service"),
         ({"version": 0}, "version"),
         ({"queues": [{**ROUTING["queues"][0], "timeout_ms": 0}]}, "timeout_ms"),
-        ({"queues": ROUTING["queues"] * 2}, "is listed twice"),
+        ({"queues": ROUTING["queues"] * 2}, "stands twice"),
     ],
 )
 def test_invalid_routing_is_rejected_with_its_problems(
