--- a/bench/alternatives.py
+++ b/bench/alternatives.py
@@ -21,7 +21,7 @@
 from bench.workload import Workload
 from clayfield.box import BoxCore
 from clayfield.dispatch import Scheduler, WorkerInfo
-from clayfield.dispatch.queue import Waiting
+from clayfield.dispatch.request_queue import QueuedRequest
 from clayfield.dispatch.workers import FreeSlots, Worker
 from clayfield.testbed.mixes import MIXES
 from clayfield.wire.messages import (
@@ -56,14 +56,14 @@
         super().tick()
         self._own_scheduler.tick()
 
-    def _put_in_force(self) -> None:
-        super()._put_in_force()
+    def _activate_config(self) -> None:
+        super()._activate_config()
         self._own_scheduler.set_config(self.cfg)
 
-    def _watch_scheduler(self) -> None:
+    def _track_scheduler(self) -> None:
         pass
 
-    def _to_scheduler(self, message: Message) -> None:
+    def _send_to_scheduler(self, message: Message) -> None:
         match message:
             case SlotRequest():
                 self._own_scheduler.on_request(self.identity.node, message)
@@ -72,18 +72,18 @@
             case SlotRelease():
                 self._own_scheduler.on_release(self.identity.node, message)
 
-    def _pump(self) -> None:
+    def _process_pending(self) -> None:
         while True:
-            super()._pump()
-            self._own_scheduler.assign()
+            super()._process_pending()
+            self._own_scheduler.grant_slots()
             if not self._own_scheduler.outbox:
                 return
             outbox, self._own_scheduler.outbox = self._own_scheduler.outbox, []
             for _, message in outbox:
                 if isinstance(message, SlotGrant):
-                    self.entry.on_grant(message)
+                    self.submissions.on_grant(message)
                 else:
-                    self.entry.on_refuse(message)
+                    self.submissions.on_refuse(message)
 
 
 class PartitionedBox(_SelfSchedulingBox):
@@ -111,8 +111,8 @@
     return choose
 
 
-def _arrival_order(request: Waiting) -> float:
-    """Replaces `Waiting.order`: sorts requests by their time of arrival."""
+def _arrival_order(request: QueuedRequest) -> float:
+    """Replaces `QueuedRequest.sort_key`: sorts requests by arrival time."""
     return request.arrived_ms
 
 
@@ -127,7 +127,7 @@
     "single": (BoxCore, contextlib.nullcontext),
     "first_come": (
         BoxCore,
-        lambda: mock.patch.object(Waiting, "order", _arrival_order),
+        lambda: mock.patch.object(QueuedRequest, "sort_key", _arrival_order),
     ),
 }
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -13,12 +13,12 @@
 
 from bench.bounds import report
 from clayfield.box import BoxCore
-from clayfield.state import ClaimTable, Open, encode_commands
+from clayfield.state import ClaimTable, OpenTable, encode_commands
 from clayfield.testbed import Site, SiteShape
 from clayfield.wire import decode, encode
 from clayfield.wire.messages import (
+    CLAIM_CLOSED,
     CLAIM_GRANTED,
-    CLAIM_SETTLED,
     Claim,
     ClaimReply,
     Complete,
@@ -35,13 +35,13 @@
 class BoxWithoutClaims(BoxCore):
     """A box that grants each of its claims itself, without the registry."""
 
-    def _to_registry(self, command: object) -> None:
+    def _send_to_registry(self, command: object) -> None:
         if isinstance(command, Claim):
             reply = ClaimReply(command.key, command.nonce, CLAIM_GRANTED)
-            self.entry.on_claim_reply(reply)
+            self.submissions.on_claim_reply(reply)
         else:
-            self.entry.on_claim_reply(
-                ClaimReply(command.key, command.nonce, CLAIM_SETTLED)
+            self.submissions.on_claim_reply(
+                ClaimReply(command.key, command.nonce, CLAIM_CLOSED)
             )
 
 
@@ -106,7 +106,7 @@
     """
     batches = _make_batches(count)
     table = ClaimTable()
-    table.apply(encode_commands([Open(1)]))
+    table.apply(encode_commands([OpenTable(1)]))
     start_s = time.process_time()
     for batch in batches:
         replies = table.apply(batch)
@@ -118,7 +118,7 @@
     """Returns the memory of a claim table per claim, in bytes."""
     batches = _make_batches(count)
     table = ClaimTable()
-    table.apply(encode_commands([Open(1)]))
+    table.apply(encode_commands([OpenTable(1)]))
     gc.collect()
     tracemalloc.start()
     for batch in batches:
--- a/bench/config.py
+++ b/bench/config.py
@@ -22,12 +22,12 @@
     Member,
     PriorityClass,
     Service,
-    to_bytes,
+    encode_config,
 )
 from clayfield.daemon.store import Store
-from clayfield.state import Append, Born, ConfigLog, HardState, Snapshot
+from clayfield.state import Append, ConfigLog, HardState, LogCreated, Snapshot
 from clayfield.testbed import EventQueue, Site, SiteShape
-from clayfield.testbed.site import DEFAULT
+from clayfield.testbed.site import DEFAULT_CONFIG
 from clayfield.wire import encode
 from clayfield.wire.messages import ConfigPull, LogEntry, Members
 
@@ -37,7 +37,7 @@
 MEMBER_COUNT = 62
 SERVICE_COUNT = 120
 HALL_COUNT = 22
-SNAPSHOT_INTERVAL = CONTROL_TIMING.compact_entries
+SNAPSHOT_INTERVAL = CONTROL_TIMING.snapshot_threshold
 LOG_LENGTHS = (400, 1600, 6400)
 
 
@@ -58,7 +58,7 @@
 def measure_activation_ms() -> list[float]:
     """Returns, for each change, the time until all boxes use it, in ms."""
     site = Site(SiteShape(HALLS, workers=1), 11)
-    site.settle(DEFAULT)
+    site.settle(DEFAULT_CONFIG)
     rng = random.Random(3)
     times_ms = []
     for number in range(CHANGES):
@@ -70,7 +70,7 @@
             limits=Limits(queue_ms=500 + number),
         )
         start_ms = site.events.now_ms()
-        site.apply(box, changed)
+        site.apply_config(box, changed)
         while any(
             b.core.cfg.version < changed.version for b in site.boxes.values()
         ):
@@ -94,7 +94,7 @@
                 f"team-{number % MEMBER_COUNT}": Member(slots=number + 1),
             },
         )
-        command = log.command_for(changed)
+        command = log.make_apply_command(changed)
         commands.append(command)
         log.apply(command)
         current = log.current
@@ -110,14 +110,14 @@
     """
     log, _ = _make_log(MISSED_CHANGES + 1)
     current_follower = ConfigFollower(EventQueue().clock)
-    current_follower.take_whole(log.current)
+    current_follower.apply_full(log.current)
     stale_follower = ConfigFollower(EventQueue().clock)
     start_s = time.perf_counter()
     push = current_follower.on_pull(ConfigPull(1))
     size = len(encode([push]))
     stale_follower.on_push(push)
     took_ms = (time.perf_counter() - start_s) * 1000
-    assert to_bytes(stale_follower.current) == to_bytes(log.current)
+    assert encode_config(stale_follower.current) == encode_config(log.current)
     return took_ms, size, float(np.mean([len(d) for d in log.deltas]))
 
 
@@ -126,7 +126,7 @@
     log, commands = _make_log(changes)
     with tempfile.TemporaryDirectory() as folder:
         store = Store(folder)
-        store.write([Born("control@a/1#1"), HardState(1, "a/1")])
+        store.write([LogCreated("control@a/1#1"), HardState(1, "a/1")])
         snapshot_index = changes // SNAPSHOT_INTERVAL * SNAPSHOT_INTERVAL
         entries = [LogEntry(1, 0, command) for command in commands]
         records = [Append(n, e) for n, e in enumerate(entries, 1)]
@@ -157,7 +157,7 @@
         "ms_to_in_force_p50": round(float(np.percentile(times_ms, 50)), 1),
         "ms_to_in_force_p99": round(float(np.percentile(times_ms, 99)), 1),
         "bytes_per_change_per_box": round(delta_bytes),
-        "whole_bytes": len(to_bytes(make_large_configuration())),
+        "whole_bytes": len(encode_config(make_large_configuration())),
         "catch_up_ms": round(catch_up_ms, 2),
         "catch_up_bytes": catch_up_bytes,
         "recovery_ms": {
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -12,7 +12,7 @@
 from bench.bounds import report
 from clayfield.testbed.chaos import Chaos
 from clayfield.testbed.drills import DRILLS
-from clayfield.testbed.ledger import PROMISES
+from clayfield.testbed.invariants import INVARIANTS
 
 STEPS = 200
 NOT_FAULTS = ("submit", "resubmit", "resubmit_at_once", "apply", "heal")
@@ -31,15 +31,18 @@
         chaos.run(STEPS)
     except AssertionError as exc:
         error = f"seed {seed}: {exc}"
-    injected = collections.Counter(chaos.injected)
+    injected = collections.Counter(chaos.injected_counts)
     injected.update(
-        {f"message_{k}": v for k, v in chaos.site.network.injected.items()}
+        {
+            f"message_{k}": v
+            for k, v in chaos.site.network.injected_counts.items()
+        }
     )
     return {
         "steps": chaos.site.events.steps,
         "injected": injected,
-        "checked": chaos.ledger.checked,
-        "violations": chaos.ledger.violations,
+        "checked": chaos.checker.check_counts,
+        "violations": chaos.checker.violation_counts,
         "error": error,
     }
 
@@ -80,8 +83,8 @@
             for kind, count in sorted(totals["injected"].items())
             if kind not in NOT_FAULTS
         },
-        "checked": {name: totals["checked"][name] for name in PROMISES},
-        "violations": {name: totals["violations"][name] for name in PROMISES},
+        "checked": {name: totals["checked"][name] for name in INVARIANTS},
+        "violations": {name: totals["violations"][name] for name in INVARIANTS},
         "failed": len(errors),
     }
     return report("faults", figures)
--- a/bench/loader.py
+++ b/bench/loader.py
@@ -10,7 +10,7 @@
 
 from twisted.internet import reactor
 
-from clayfield.testbed.load import Callers
+from clayfield.testbed.load import JobClient
 
 
 def main() -> None:
@@ -21,7 +21,7 @@
     """
     port, key_prefix = int(sys.argv[1]), sys.argv[2]
     tasks, tasks_per_job, connections = map(int, sys.argv[3:6])
-    callers = Callers(reactor, port, "desk-amsterdam")
+    callers = JobClient(reactor, port, "desk-amsterdam")
     jobs = tasks // tasks_per_job
     body = json.dumps(
         {
--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from clayfield.testbed.mixes import MIXES, Job, Mix
+from clayfield.testbed.mixes import MIXES, DrawnJob, Mix
 
 
 class _OracleJob:
@@ -24,7 +24,7 @@
 
     __slots__ = ("arrived_ms", "drawn", "pending_ms", "remaining", "running")
 
-    def __init__(self, drawn: Job, arrived_ms: float):
+    def __init__(self, drawn: DrawnJob, arrived_ms: float):
         self.drawn = drawn
         self.arrived_ms = arrived_ms
         self.pending_ms = sorted(drawn.run_ms)
@@ -81,7 +81,7 @@
             rank = ranks[job.drawn.kind.priority]
             sequence += 1
             heapq.heappush(queues[rank], (sum(job.pending_ms), sequence, job))
-            next_arrival_ms += source.gap_ms(rate)
+            next_arrival_ms += source.draw_gap_ms(rate)
         while free_slots and any(queues):
             queue = next(q for q in queues if q)
             _, _, job = heapq.heappop(queue)
--- a/bench/path.py
+++ b/bench/path.py
@@ -37,17 +37,17 @@
             flags.config,
             {"west-1": flags.boxes},
             8,
-            control=1,
+            control_count=1,
         ) as cluster,
     ):
         boxes = list(cluster.boxes.values())
         box = boxes[-1]
         time.sleep(1.0)
-        _submit_jobs(box.callers, 2000, "warm", flags.tasks_per_job)
+        _submit_jobs(box.callers_port, 2000, "warm", flags.tasks_per_job)
         memory_before_mb = box.resident_mb()
         cpu_s = sum(b.cpu_s() for b in boxes)
         took_s, failed = _submit_jobs(
-            box.callers, flags.tasks, "main", flags.tasks_per_job
+            box.callers_port, flags.tasks, "main", flags.tasks_per_job
         )
         cpu_s = sum(b.cpu_s() for b in boxes) - cpu_s
         memory_after_mb = box.resident_mb()
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -57,8 +57,8 @@
     for number in range(4):
         worker = workload.site.workers[names[number * 5]]
         at_ms = 2000.0 + number * 4000.0
-        workload.site.events.after(at_ms, worker.kill)
-        workload.site.events.after(at_ms + 6000.0, worker.revive)
+        workload.site.events.call_later(at_ms, worker.kill)
+        workload.site.events.call_later(at_ms + 6000.0, worker.revive)
 
 
 def _rack_failure(workload: Workload, start_ms: float) -> None:
@@ -67,8 +67,8 @@
         w for w in workload.site.workers.values() if w.info.rack == "h1-r0"
     ]
     for worker in workers:
-        workload.site.events.after(5000.0, worker.kill)
-        workload.site.events.after(15_000.0, worker.revive)
+        workload.site.events.call_later(5000.0, worker.kill)
+        workload.site.events.call_later(15_000.0, worker.revive)
 
 
 def _leaving_workers(workload: Workload, start_ms: float) -> None:
@@ -80,7 +80,7 @@
 
     for number in range(4):
         name = names[number * 5]
-        workload.site.events.after(
+        workload.site.events.call_later(
             2000.0 + number * 4000.0, lambda name=name: leave(name)
         )
 
@@ -91,19 +91,19 @@
     leader = next(
         box
         for box in boxes.values()
-        if any(r.leads for r in box.core.registries.values())
+        if any(r.is_leader for r in box.core.registries.values())
     )
-    workload.site.events.after(6000.0, leader.crash)
-    workload.site.events.after(12_000.0, leader.start)
+    workload.site.events.call_later(6000.0, leader.crash)
+    workload.site.events.call_later(12_000.0, leader.start)
 
 
 def _hall_partition(workload: Workload, start_ms: float) -> None:
     """Partitions a hall from the others for 10 s."""
     site = workload.site
-    inside = site.places_in("h2")
+    inside = site.names_in("h2")
     outside = {*site.boxes, *site.workers} - inside
-    site.events.after(5000.0, lambda: site.network.cut(inside, outside))
-    site.events.after(15_000.0, site.network.heal)
+    site.events.call_later(5000.0, lambda: site.network.cut(inside, outside))
+    site.events.call_later(15_000.0, site.network.heal)
 
 
 def _resubmit_storm(workload: Workload, start_ms: float) -> None:
@@ -141,7 +141,7 @@
     SCENARIOS[scenario](workload, start_ms)
     busy_before_ms = sum(w.busy_ms for w in workload.site.workers.values())
     busy_at_end_ms: list[float] = []
-    workload.site.events.after(
+    workload.site.events.call_later(
         WARM_MS + duration_ms,
         lambda: busy_at_end_ms.append(
             sum(w.busy_ms for w in workload.site.workers.values())
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -19,22 +19,16 @@
 from clayfield.base import ManualClock
 from clayfield.box import Send
 from clayfield.cluster import ControlState
-from clayfield.cluster.directory import SetJobs, encode_command
-from clayfield.config import (
-    Configuration,
-    PriorityClass,
-    Service,
-    diff,
-    patch,
-)
+from clayfield.cluster.control_state import SetJobs, encode_command
+from clayfield.config import Configuration, PriorityClass, Service, diff, patch
 from clayfield.dispatch import Scheduler, WorkerInfo
-from clayfield.state import ClaimTable, Open, encode_commands
+from clayfield.state import ClaimTable, OpenTable, encode_commands
 from clayfield.testbed import Site, SiteShape
 from clayfield.testbed.box import FakeBox
 from clayfield.wire import encode
 from clayfield.wire.cluster import Grant
+from clayfield.wire.job_store import AcceptJob, EndTask
 from clayfield.wire.jobs import Job, Step
-from clayfield.wire.ledger import AcceptJob, EndTask
 from clayfield.wire.messages import (
     RELEASE_DONE,
     Claim,
@@ -107,7 +101,7 @@
         ends = [Complete(k, "a/1", n, outcome) for n, k in enumerate(keys)]
         batches.append(encode_commands([*claims, *ends]))
     table = ClaimTable()
-    table.apply(encode_commands([Open(1)]))
+    table.apply(encode_commands([OpenTable(1)]))
     start_s = time.process_time()
     for batch in batches:
         table.apply(batch)
@@ -120,7 +114,7 @@
     gc.collect()
     tracemalloc.start()
     table = ClaimTable()
-    table.apply(encode_commands([Open(1)]))
+    table.apply(encode_commands([OpenTable(1)]))
     for n in range(count):
         key = f"desk/h1:{n:08}"
         table.apply(
@@ -157,7 +151,7 @@
     for number in range(jobs):
         request = SlotRequest(number, "m", "s", "a", 4, 0.0)
         scheduler.on_request("a/1", request)
-        scheduler.assign()
+        scheduler.grant_slots()
         for _, message in scheduler.outbox:
             granted += message.grants
         scheduler.outbox.clear()
@@ -177,7 +171,7 @@
     for number in range(waiting):
         request = SlotRequest(number, "m", "s", "a", 1, 0.0)
         scheduler.on_request("a/1", request)
-    scheduler.assign()
+    scheduler.grant_slots()
     granted = [g for _, m in scheduler.outbox for g in getattr(m, "grants", ())]
     scheduler.outbox.clear()
     rounds = 400
@@ -188,7 +182,7 @@
         grant, worker = granted.pop(0)
         release = SlotRelease(grant, worker, RELEASE_DONE, 200.0)
         scheduler.on_release("a/1", release)
-        scheduler.assign()
+        scheduler.grant_slots()
         for _, message in scheduler.outbox:
             granted += getattr(message, "grants", ())
         scheduler.outbox.clear()
@@ -207,7 +201,7 @@
         messages sent by all boxes.
     """
     shape = SiteShape(
-        {f"h{n}": boxes for n in range(halls)}, control=3, workers=1
+        {f"h{n}": boxes for n in range(halls)}, control_count=3, workers=1
     )
     site = Site(shape, 5)
     site.settle(limit_ms=60_000.0)
--- a/bench/wire.py
+++ b/bench/wire.py
@@ -55,7 +55,7 @@
                 ],
             }
         )
-        at_ms += source.gap_ms(rate)
+        at_ms += source.draw_gap_ms(rate)
     return jobs
 
 
@@ -72,7 +72,7 @@
         ) as cluster,
     ):
         cpu_before_s = sum(box.cpu_s() for box in cluster.boxes.values())
-        ports = [box.callers for box in cluster.boxes.values()]
+        ports = [box.callers_port for box in cluster.boxes.values()]
         outcomes = run_jobs(jobs, MIXES[mix], ports)
         cpu_s = sum(b.cpu_s() for b in cluster.boxes.values()) - cpu_before_s
         counts = json.loads(cluster.workers.counts())
@@ -88,7 +88,7 @@
         "refused": len(outcomes) - len(completed),
         "completed": len(completed),
         "cpu_ms_per_task": round(cpu_s * 1000 / tasks, 3),
-        "wrong": sum(bool(o.fault()) for o in outcomes),
+        "wrong": sum(bool(o.find_error()) for o in outcomes),
     }
 
 
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -15,9 +15,9 @@
     PriorityClass,
     Service,
 )
-from clayfield.dispatch import read_problem
-from clayfield.testbed import Ledger, Site, SiteShape
-from clayfield.testbed.mixes import MIXES, Job, Mix
+from clayfield.dispatch import parse_problem
+from clayfield.testbed import InvariantChecker, Site, SiteShape
+from clayfield.testbed.mixes import MIXES, DrawnJob, Mix
 from clayfield.wire.messages import Outcome
 
 MS_PER_S = 1000.0
@@ -59,7 +59,7 @@
         },
         services={
             kind.service: Service(
-                expected_ms=(kind.low_ms + kind.high_ms) // 2,
+                expected_ms=(kind.min_task_ms + kind.max_task_ms) // 2,
                 timeout_ms=3000,
                 retry_lost=kind.is_repeatable,
             )
@@ -95,7 +95,7 @@
     ):
         self.kinds = MIXES[mix]
         self.site = Site(
-            shape, seed, Ledger(is_strict=False), make_core=make_core
+            shape, seed, InvariantChecker(is_strict=False), make_core=make_core
         )
         self.cfg = make_configuration(mix)
         self.site.settle(self.cfg)
@@ -140,10 +140,10 @@
             return
         self._submit(self._mix.draw())
         work_per_s = self.slots * MS_PER_S * self.load(now_ms)
-        gap_ms = self._mix.gap_ms(work_per_s / self._mix.mean_work_ms)
-        self.site.events.after(gap_ms, self._arrive)
+        gap_ms = self._mix.draw_gap_ms(work_per_s / self._mix.mean_work_ms)
+        self.site.events.call_later(gap_ms, self._arrive)
 
-    def _submit(self, job: Job) -> None:
+    def _submit(self, job: DrawnJob) -> None:
         """Submits a job under a new key, and again later for some jobs."""
         self._number += 1
         key = f"{self._next_hall()}:{self._number}"
@@ -151,7 +151,7 @@
         self._send(key, job, run_ms, is_measured=self._is_measured)
         if self._rng.random() < self.resubmit_share:
             delay_ms = float(self._rng.uniform(1, 400))
-            self.site.events.after(
+            self.site.events.call_later(
                 delay_ms, lambda: self._send(key, job, run_ms, False)
             )
 
@@ -161,7 +161,7 @@
         return halls[self._number % len(halls)]
 
     def _send(
-        self, key: str, job: Job, run_ms: list[float], is_measured: bool
+        self, key: str, job: DrawnJob, run_ms: list[float], is_measured: bool
     ) -> None:
         """Sends a job to a box of the key's home hall, if one is running."""
         running = [b for b in self.site.boxes.values() if b.core]
@@ -189,7 +189,7 @@
             service=job.kind.service,
             is_repeatable=job.kind.is_repeatable,
             member=job.kind.member,
-            is_first=True,
+            is_first_attempt=True,
         )
 
     def _record(
@@ -204,7 +204,7 @@
             stats.tasks += len(run_ms)
             stats.slowdowns.append(took_ms / max(run_ms))
             return
-        problem = read_problem(outcome.body)
+        problem = parse_problem(outcome.body)
         if problem.ran == Ran.NO:
             stats.refused += 1
             self.refusals.append((self.site.events.now_ms(), took_ms))
@@ -214,8 +214,8 @@
     def count_wasted(self) -> tuple[int, int]:
         """Returns the numbers of wasted starts and of completed tasks."""
         boxes = [b.core for b in self.site.boxes.values() if b.core]
-        wasted = sum(core.entry.counters.wasted for core in boxes)
-        answered = sum(core.entry.counters.answered for core in boxes)
+        wasted = sum(core.submissions.counters.wasted for core in boxes)
+        answered = sum(core.submissions.counters.answered for core in boxes)
         return wasted, answered
 
     def summary(self) -> dict:
@@ -231,7 +231,7 @@
             },
             "slowdown_mean": _round(np.mean(slowdowns)) if slowdowns else None,
             "wasted_per_task": _round(wasted / max(1, answered)),
-            "violations": sum(self.site.ledger.violations.values()),
+            "violations": sum(self.site.checker.violation_counts.values()),
         }
 
 
--- a/packages/base/src/clayfield/base/__init__.py
+++ b/packages/base/src/clayfield/base/__init__.py
@@ -1,12 +1,12 @@
 """The clock, errors, log events and settings used by every package."""
 
 from clayfield.base.clock import Clock, ManualClock, MonotonicClock
-from clayfield.base.errors import ClayfieldError, Kind, Problem, Ran
+from clayfield.base.errors import ClayfieldError, ErrorKind, Problem, Ran
 
 __all__ = [
     "ClayfieldError",
     "Clock",
-    "Kind",
+    "ErrorKind",
     "ManualClock",
     "MonotonicClock",
     "Problem",
--- a/packages/base/src/clayfield/base/errors.py
+++ b/packages/base/src/clayfield/base/errors.py
@@ -19,7 +19,7 @@
     remedy: str
 
 
-class Kind(enum.Enum):
+class ErrorKind(enum.Enum):
     """The kinds of error."""
 
     BAD_JSON = _Spec(
@@ -195,7 +195,7 @@
         return self.value.remedy
 
     @classmethod
-    def from_code(cls, code: str) -> "Kind":
+    def from_code(cls, code: str) -> "ErrorKind":
         """Returns the kind with the given code.
 
         Raises:
@@ -204,7 +204,7 @@
         return _BY_CODE[code]
 
 
-_BY_CODE = {kind.code: kind for kind in Kind}
+_BY_CODE = {kind.code: kind for kind in ErrorKind}
 
 
 class Problem:
@@ -222,7 +222,7 @@
 
     def __init__(
         self,
-        kind: Kind,
+        kind: ErrorKind,
         detail: str = "",
         ran: Ran = Ran.NO,
         retry_after_ms: int | None = None,
@@ -242,7 +242,7 @@
 
     def __init__(
         self,
-        kind: Kind,
+        kind: ErrorKind,
         detail: str = "",
         ran: Ran = Ran.NO,
         retry_after_ms: int | None = None,
@@ -253,6 +253,6 @@
         )
 
     @property
-    def kind(self) -> Kind:
+    def kind(self) -> ErrorKind:
         """Kind of the error."""
         return self.problem.kind
--- a/packages/base/src/clayfield/base/events.py
+++ b/packages/base/src/clayfield/base/events.py
@@ -341,7 +341,7 @@
         return True
 
 
-def set_up_bounded(level: str) -> None:
+def configure_bounded_logging(level: str) -> None:
     """Logs events to standard output, rate-limited and without blocking.
 
     Args:
@@ -352,12 +352,12 @@
     _bounded_handlers.append(handler)
 
 
-def lines_dropped() -> int:
-    """Returns the number of lines dropped by `set_up_bounded` handlers."""
+def dropped_line_count() -> int:
+    """Returns how many lines `configure_bounded_logging` handlers dropped."""
     return sum(handler.dropped for handler in _bounded_handlers)
 
 
-def set_up(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Logs events to standard error.
 
     Args:
--- a/packages/base/src/clayfield/base/settings.py
+++ b/packages/base/src/clayfield/base/settings.py
@@ -10,7 +10,7 @@
 import typing
 from collections.abc import Callable, Mapping, Sequence
 
-from clayfield.base.errors import ClayfieldError, Kind
+from clayfield.base.errors import ClayfieldError, ErrorKind
 
 PREFIX = "CLAYFIELD_"
 # Settings that only the command-line client reads. The daemon accepts their
@@ -23,13 +23,13 @@
 
     Attributes:
         name: name in lower case with underscores.
-        read: parses the text into the value; raises ValueError if invalid.
+        parse: parses the text into the value; raises ValueError if invalid.
         default: text used when none is given; None if the setting is required.
         help: help text, a single line.
     """
 
     name: str
-    read: Callable[[str], object]
+    parse: Callable[[str], object]
     default: str | None
     help: str
 
@@ -44,7 +44,7 @@
         return PREFIX + self.name.upper()
 
 
-def whole_number(low: int, high: int) -> Callable[[str], int]:
+def int_in_range(low: int, high: int) -> Callable[[str], int]:
     """Returns a parser of integers from `low` to `high`."""
 
     def parse(text: str) -> int:
@@ -56,19 +56,19 @@
     return parse
 
 
-def yes_or_no(text: str) -> bool:
+def parse_yes_no(text: str) -> bool:
     """Returns whether a text is `yes`; raises ValueError unless yes or no."""
     if text not in ("yes", "no"):
         raise ValueError("must be 'yes' or 'no'")
     return text == "yes"
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Returns host and port of an `IP:PORT`; raises ValueError if invalid."""
     host, separator, port = text.rpartition(":")
     if not separator or not host:
         raise ValueError("must be IP:PORT")
-    return host, whole_number(0, 65535)(port)
+    return host, int_in_range(0, 65535)(port)
 
 
 def add_flags(
@@ -115,19 +115,19 @@
             errors.append(f"{setting.flag} ({setting.variable}) is missing.")
             continue
         try:
-            values[setting.name] = setting.read(text)
+            values[setting.name] = setting.parse(text)
         except ValueError as exc:
             errors.append(
                 f"{setting.flag} ({setting.variable}) {text!r}: {exc}."
             )
     if is_strict:
-        errors += unknown_variables(settings, environment)
+        errors += find_unknown_variables(settings, environment)
     if errors:
-        raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(errors))
+        raise ClayfieldError(ErrorKind.BAD_SETTINGS, " ".join(errors))
     return values
 
 
-def unknown_variables(
+def find_unknown_variables(
     settings: Sequence[Setting], environment: Mapping[str, str]
 ) -> list[str]:
     """Returns an error text for each CLAYFIELD_ variable of no setting."""
--- a/packages/box/src/clayfield/box/actions.py
+++ b/packages/box/src/clayfield/box/actions.py
@@ -5,7 +5,7 @@
 
 from clayfield.dispatch import Action
 from clayfield.state import Record
-from clayfield.wire.messages import Grouped, Message
+from clayfield.wire.messages import GroupMessage, Message
 
 
 class Send(Action):
@@ -37,14 +37,17 @@
     __slots__ = ("last_index", "messages", "records")
 
     def __init__(
-        self, records: list[Record], messages: list[Grouped], last_index: int
+        self,
+        records: list[Record],
+        messages: list[GroupMessage],
+        last_index: int,
     ):
         self.records = records
         self.messages = messages
         self.last_index = last_index
 
 
-class InForce(Action):
+class ConfigActivated(Action):
     """Report that a configuration became active at this box.
 
     Attributes:
@@ -57,7 +60,7 @@
         self.version = version
 
 
-class Applied(Action):
+class ApplyFinished(Action):
     """Report the result of applying a configuration to its operator.
 
     Attributes:
--- a/packages/box/src/clayfield/box/control.py
+++ b/packages/box/src/clayfield/box/control.py
@@ -1,8 +1,8 @@
 """One replica of the control log, the log of accepted configurations."""
 
-from clayfield.config import from_bytes
+from clayfield.config import decode_config
 from clayfield.state import ApplyResult, ConfigLog
-from clayfield.state.configlog import beginning
+from clayfield.state.configlog import make_opening_command
 from clayfield.state.group import Group
 from clayfield.state.membership import PeerTable
 from clayfield.wire.messages import (
@@ -14,7 +14,7 @@
 )
 
 
-class Control:
+class ControlReplica:
     """The control log's replica at a box with a data folder.
 
     Attributes:
@@ -35,14 +35,16 @@
         return self.group.machine
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this node can accept configurations now."""
         consensus = self.group.consensus
         return (
-            self.group.is_leader and consensus.is_settled and self.log.is_open
+            self.group.is_leader
+            and consensus.has_committed_in_term
+            and self.log.is_open
         )
 
-    def take(self, node: str, request: ApplyRequest | OpenRequest) -> bool:
+    def handle(self, node: str, request: ApplyRequest | OpenRequest) -> bool:
         """Handles a box's request to apply a configuration or open a hall.
 
         The reply follows at once, or once the command is committed.
@@ -50,14 +52,14 @@
         Returns:
             False if this node does not lead; the request is then dropped.
         """
-        if not self.leads:
+        if not self.is_leader:
             return False
         if isinstance(request, OpenRequest):
-            command = self.log.opening_for(
+            command = self.log.make_open_command(
                 request.hall, request.instance, request.halls
             )
         else:
-            command = self.log.command_for(from_bytes(request.body))
+            command = self.log.make_apply_command(decode_config(request.body))
         if isinstance(command, ApplyResult):
             self._reply(node, request, command)
             return True
@@ -101,7 +103,9 @@
         consensus = self.group.consensus
         if consensus is None or self.log.is_open:
             return
-        if consensus.is_settled and self.group.is_whole:
-            is_proposed = consensus.has_command(lambda c: c == beginning())
+        if consensus.has_committed_in_term and self.group.has_all_voters:
+            is_proposed = consensus.has_command(
+                lambda c: c == make_opening_command()
+            )
             if not is_proposed:
-                consensus.propose(beginning())
+                consensus.propose(make_opening_command())
--- a/packages/box/src/clayfield/box/core.py
+++ b/packages/box/src/clayfield/box/core.py
@@ -10,38 +10,38 @@
 import random
 from collections.abc import Callable
 
-from clayfield.base import Clock, Kind, Problem
-from clayfield.box.actions import InForce, Persist, Send
-from clayfield.box.applies import Applies
-from clayfield.box.control import Control
+from clayfield.base import Clock, ErrorKind, Problem
+from clayfield.box.actions import ConfigActivated, Persist, Send
+from clayfield.box.control import ControlReplica
 from clayfield.box.follower import ConfigFollower
+from clayfield.box.heartbeat_targets import heartbeat_targets
 from clayfield.box.identity import Identity
+from clayfield.box.pending_applies import PendingApplies
 from clayfield.box.registry import Registry
-from clayfield.box.targets import beat_targets
 from clayfield.config import Configuration
 from clayfield.dispatch import (
     Action,
-    Entry,
     JobRequest,
+    SendToNode,
+    SendToRegistry,
+    SendToScheduler,
     Submission,
-    TaskEnd,
-    ToNode,
-    ToRegistry,
-    ToScheduler,
+    SubmissionManager,
+    TaskOutcome,
     WorkerInfo,
 )
 from clayfield.state import (
     ClaimTable,
     ConfigLog,
-    Replayed,
+    RestoredState,
     Timing,
     hall_replicas,
     home_hall,
-    owned_key,
+    member_key,
 )
-from clayfield.state.claims import is_opening
-from clayfield.state.configlog import is_beginning
-from clayfield.state.group import Group, base_of
+from clayfield.state.claims import is_open_table_command
+from clayfield.state.configlog import is_opening_command
+from clayfield.state.group import Group, base_name_of
 from clayfield.state.membership import PeerTable, box_of
 from clayfield.wire import messages as m
 
@@ -55,7 +55,9 @@
 NOT_READY_RETRY_MS = 500
 # Configuration changes tolerate a longer election than claims do.
 CONTROL_TIMING = Timing(
-    election_ms=1200.0, heartbeat_ms=300.0, compact_entries=512
+    election_timeout_ms=1200.0,
+    heartbeat_interval_ms=300.0,
+    snapshot_threshold=512,
 )
 
 
@@ -64,7 +66,7 @@
 
     Attributes:
         identity: the box's name, hall, incarnation and configured peers.
-        entry: the submissions that callers sent to this box.
+        submissions: the submissions that callers sent to this box.
         peers: the last heartbeat of each peer.
         follower: the active configuration.
         registries: by hall, the replicas of the claims of idempotency keys
@@ -78,7 +80,7 @@
         identity: Identity,
         clock: Clock,
         rng: random.Random,
-        stored: Replayed | None = None,
+        stored: RestoredState | None = None,
         timing: Timing | None = None,
         control_timing: Timing | None = None,
     ):
@@ -96,7 +98,9 @@
         self.identity = identity
         self.peers = PeerTable(clock, identity.node)
         self.follower = ConfigFollower(clock)
-        self.entry = Entry(clock, identity.node, self.follower.current)
+        self.submissions = SubmissionManager(
+            clock, identity.node, self.follower.current
+        )
         self._clock = clock
         self._rng = rng
         self._timing = timing or Timing()
@@ -106,7 +110,7 @@
             collections.deque()
         )
         self._workers: list[WorkerInfo] = []
-        self._pending_applies = Applies(clock)
+        self._pending_applies = PendingApplies(clock)
         # Separate counters, so that requests to one group do not make those to
         # the other skip a box.
         self._registry_rotation = 0
@@ -122,7 +126,9 @@
         self.registries = self._make_registries()
         self._follow_control_log()
 
-    def _make_control(self, stored: Replayed | None) -> Control | None:
+    def _make_control(
+        self, stored: RestoredState | None
+    ) -> ControlReplica | None:
         if self.identity.box not in self.identity.control_boxes:
             return None
         group = Group(
@@ -131,14 +137,14 @@
             self.identity.control_boxes,
             ConfigLog,
             lambda g: (
-                g.machine.is_open or g.consensus.has_command(is_beginning)
+                g.machine.is_open or g.consensus.has_command(is_opening_command)
             ),
             self._clock,
             self._rng,
             self._control_timing,
             stored=stored,
         )
-        return Control(group)
+        return ControlReplica(group)
 
     def _make_registries(self) -> dict[str, Registry]:
         halls = {n: p.hall for n, p in self.identity.boxes.items()}
@@ -158,11 +164,16 @@
             self.identity.node,
             replicas,
             ClaimTable,
-            lambda g: g.machine.is_open or g.consensus.has_command(is_opening),
+            lambda g: (
+                g.machine.is_open
+                or g.consensus.has_command(is_open_table_command)
+            ),
             self._clock,
             self._rng,
             self._timing,
-            patience=1.0 if is_local else REMOTE_ELECTION_TIMEOUT_FACTOR,
+            election_timeout_factor=1.0
+            if is_local
+            else REMOTE_ELECTION_TIMEOUT_FACTOR,
             may_drop=True,
         )
         return Registry(self._clock, hall, self.identity.halls, group)
@@ -204,53 +215,59 @@
         """Returns the hall whose registry holds the claim of a key.
 
         Args:
-            key: a member's key as `owned_key` returns it.
+            key: a member's key as `member_key` returns it.
         """
         return home_hall(key, self.identity.halls)
 
     # Input events.
 
     def submit(self, req: JobRequest, waiter: object) -> Submission | None:
-        """Accepts or refuses a caller's job; see `Entry.submit`.
+        """Accepts or refuses a caller's job; see `SubmissionManager.submit`.
 
         Args:
             req: the job; its `refusal` is set where the box can't serve it.
-            waiter: the caller's handle, passed on to `Entry.submit`.
+            waiter: the caller's handle, passed on to
+                `SubmissionManager.submit`.
         """
         req.refusal = req.refusal or self._find_refusal(
             req.service, req.priority
         )
-        key = owned_key(req.member, req.key)
-        return self.entry.submit(key, req, waiter)
+        key = member_key(req.member, req.key)
+        return self.submissions.submit(key, req, waiter)
 
     def _find_refusal(self, service: str, priority: str) -> Problem | None:
         """Returns why a job can't be served, None if it can."""
         if not self.cfg.version:
-            return Problem(Kind.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS)
+            return Problem(
+                ErrorKind.NOT_READY, retry_after_ms=NOT_READY_RETRY_MS
+            )
         if service not in self.cfg.services:
             return Problem(
-                Kind.NOT_FOUND, f"The configuration has no service {service!r}."
+                ErrorKind.NOT_FOUND,
+                f"The configuration has no service {service!r}.",
             )
         if priority not in self.cfg.classes:
             return Problem(
-                Kind.NOT_FOUND, f"The configuration has no class {priority!r}."
+                ErrorKind.NOT_FOUND,
+                f"The configuration has no class {priority!r}.",
             )
         return None
 
-    def look_up(self, member: str, key: str, waiter: object) -> None:
+    def look_up_key(self, member: str, key: str, waiter: object) -> None:
         """Requests the state or the answer of a member's key.
 
         Args:
             member: the customer that sent the job.
             key: the idempotency key of the job.
-            waiter: the caller's handle, passed on to `Entry.look_up`.
+            waiter: the caller's handle, passed on to
+                `SubmissionManager.look_up_key`.
         """
-        self.entry.look_up(owned_key(member, key), waiter)
+        self.submissions.look_up_key(member_key(member, key), waiter)
 
     def on_task_end(
-        self, grant: int, end: TaskEnd, answer: bytes, took_ms: float
+        self, grant: int, end: TaskOutcome, answer: bytes, took_ms: float
     ) -> None:
-        """Handles the end of an attempt of a task; see `Entry.on_task_end`.
+        """Handles the end of an attempt; see `SubmissionManager.on_task_end`.
 
         Args:
             grant: the number of the slot that the task ran in.
@@ -258,12 +275,12 @@
             answer: the body of the worker's reply.
             took_ms: the duration of the attempt.
         """
-        self.entry.on_task_end(grant, end, answer, took_ms)
+        self.submissions.on_task_end(grant, end, answer, took_ms)
 
     def on_workers(self, workers: list[WorkerInfo]) -> None:
         """Replaces the list of workers that the platform reports."""
         self._workers = workers
-        self.entry.set_workers(workers)
+        self.submissions.set_workers(workers)
         for registry in self.registries.values():
             if registry.scheduler:
                 registry.scheduler.set_workers(workers)
@@ -272,7 +289,8 @@
         """Sends a validated configuration to the control log.
 
         Returns:
-            The request number that the resulting `Applied` action carries.
+            The request number that the resulting `ApplyFinished` action
+            carries.
         """
         request = self._pending_applies.add(cfg)
         self._send_to_control(request)
@@ -289,18 +307,18 @@
         """
         if not self.peers.accepts(node):
             return
-        self.peers.on_heard(node)
+        self.peers.on_contact(node)
         self._handle(node, message)
 
     def on_peer_closed(self, node: str) -> None:
         """Handles the end of the stream from a node."""
-        self.peers.on_closed(node)
+        self.peers.on_disconnected(node)
         peer = self.peers.get(box_of(node))
         if peer is None or peer.node != node:
             return
         for group in self.groups:
             if group.consensus:
-                group.consensus.on_closed(box_of(node))
+                group.consensus.on_disconnected(box_of(node))
 
     def on_persisted(self, last_index: int) -> None:
         """Handles the completion of the pending `Persist` action.
@@ -328,19 +346,19 @@
     def begin_stop(self) -> None:
         """Refuses new work and transfers leadership to other boxes."""
         self.announce_stop()
-        self.entry.is_stopping = True
+        self.submissions.is_stopping = True
         self._transfer_leadership()
 
     def _transfer_leadership(self) -> None:
         """Asks another voter of each group that this box leads to take over."""
         for group in self.groups:
             if group.is_leader:
-                group.consensus.transfer()
+                group.consensus.transfer_leadership()
 
     @property
     def is_drained(self) -> bool:
         """Whether a stopping box may exit without cutting off work."""
-        return self.entry.is_idle and not any(
+        return self.submissions.is_idle and not any(
             map(self._can_transfer, self.groups)
         )
 
@@ -368,9 +386,9 @@
                 self.identity.boxes_in(registry.hall),
                 self.cfg.limits.claim_retention_ms,
             )
-        self.entry.tick()
+        self.submissions.tick()
         self._tick_pending_applies()
-        if self.entry.is_stopping:
+        if self.submissions.is_stopping:
             self._transfer_leadership()
         if now_ms >= self._next_heartbeat_ms:
             self._send_heartbeats(now_ms)
@@ -379,7 +397,7 @@
 
     def take_actions(self) -> list[Action]:
         """Returns the actions to carry out now, in order, and clears them."""
-        self._pump()
+        self._process_pending()
         actions = self._actions
         self._actions = []
         return actions
@@ -388,9 +406,9 @@
 
     def _make_handlers(self) -> dict[type, Callable[[str, m.Message], None]]:
         """Returns the handler of each message type."""
-        entry = self.entry
+        entry = self.submissions
         return {
-            m.Grouped: self._on_group_message,
+            m.GroupMessage: self._on_group_message,
             m.Heartbeat: self._on_heartbeat,
             m.ConfigPull: self._on_config_pull,
             m.ConfigPush: self._on_config_push,
@@ -423,38 +441,38 @@
 
     def _on_config_push(self, node: str, push: m.ConfigPush) -> None:
         if self.follower.on_push(push):
-            self._put_in_force()
+            self._activate_config()
 
     def _on_control_request(
         self, node: str, request: m.ApplyRequest | m.OpenRequest
     ) -> None:
         if self.control:
-            self.control.take(node, request)
+            self.control.handle(node, request)
 
     def _on_open_reply(self, node: str, reply: m.OpenReply) -> None:
         registry = self.registries.get(reply.hall)
         if registry:
             registry.on_open_reply(reply)
 
-    def _on_group_message(self, node: str, message: m.Grouped) -> None:
-        base = base_of(message.body.group)
+    def _on_group_message(self, node: str, message: m.GroupMessage) -> None:
+        base = base_name_of(message.body.group)
         for group in self.groups:
             if group.base == base:
                 group.on_message(message)
 
     def _on_heartbeat(self, node: str, heartbeat: m.Heartbeat) -> None:
         self.peers.on_heartbeat(node, heartbeat)
-        pull = self.follower.pull_from(heartbeat.config_version)
+        pull = self.follower.make_pull(heartbeat.config_version)
         if pull:
             self._send(node, pull)
-        self._watch_scheduler()
+        self._track_scheduler()
 
     def _on_claim_command(
         self, node: str, command: m.Claim | m.Complete | m.Unclaim | m.Lookup
     ) -> None:
         hall = self.home_of(command.key)
         registry = self.registries.get(hall)
-        if registry and registry.take(command):
+        if registry and registry.handle(command):
             return
         # Forwarded at most once, so that two boxes with outdated leaders do
         # not send a command back and forth.
@@ -476,7 +494,7 @@
             case m.SlotRelease():
                 scheduler.on_release(node, message)
             case m.SlotSync():
-                registry.on_sync(node, message)
+                registry.on_slot_sync(node, message)
 
     # Heartbeats.
 
@@ -486,12 +504,14 @@
         heartbeat = m.Heartbeat(
             self.identity.hall,
             self.follower.version,
-            tuple(g.base for g in groups if g.holds_nothing_live),
+            tuple(g.base for g in groups if g.is_discardable),
             {g.base: g.consensus.term for g in groups if g.is_leader},
-            tuple(g.join_name() for g in groups),
+            tuple(g.make_join_name() for g in groups),
             self._is_stopping,
         )
-        for box in beat_targets(self.identity, self.peers, self.registries):
+        for box in heartbeat_targets(
+            self.identity, self.peers, self.registries
+        ):
             self._actions.append(Send(box, heartbeat))
 
     # Configurations.
@@ -526,19 +546,19 @@
             return
         deltas = log.deltas_after(self.follower.version)
         if deltas is None:
-            self.follower.take_whole(log.current)
+            self.follower.apply_full(log.current)
         else:
-            self.follower.take_deltas(deltas)
-        self._put_in_force()
+            self.follower.apply_deltas(deltas)
+        self._activate_config()
 
-    def _put_in_force(self) -> None:
+    def _activate_config(self) -> None:
         """Passes a newly active configuration to the components."""
         cfg = self.follower.current
-        self.entry.set_config(cfg)
+        self.submissions.set_config(cfg)
         for registry in self.registries.values():
             if registry.scheduler:
                 registry.scheduler.set_config(cfg)
-        self._actions.append(InForce(cfg.version))
+        self._actions.append(ConfigActivated(cfg.version))
 
     # Routing.
 
@@ -549,19 +569,19 @@
                 return group.leader, group.consensus.term
         return self.peers.leader_of(base)
 
-    def _watch_scheduler(self) -> None:
+    def _track_scheduler(self) -> None:
         """Sends slots and open claims to the hall's leader after a change."""
         scheduler = self._leader(HALL_GROUP_PREFIX + self.identity.hall)
         if scheduler[0] and scheduler != self._scheduler:
             self._scheduler = scheduler
             self._send_slot_sync()
-            self.entry.resend_claims()
+            self.submissions.resend_claims()
 
     def _send_slot_sync(self) -> None:
         self._next_slot_sync_ms = self._clock.now_ms() + SLOT_SYNC_INTERVAL_MS
-        self._to_scheduler(self.entry.sync_message())
+        self._send_to_scheduler(self.submissions.make_sync())
 
-    def _to_scheduler(self, message: m.Message) -> None:
+    def _send_to_scheduler(self, message: m.Message) -> None:
         """Sends to the hall's scheduler; drops the message if none is known."""
         if self._scheduler[0]:
             self._send(self._scheduler[0], message)
@@ -587,7 +607,7 @@
 
     # Message processing within the box.
 
-    def _pump(self) -> None:
+    def _process_pending(self) -> None:
         """Exchanges messages between the components until none is left."""
         while True:
             while self._local_messages:
@@ -597,21 +617,21 @@
             self._run_control()
             for registry in self.registries.values():
                 self._run_registry(registry)
-            self._watch_scheduler()
-            if not self._local_messages and not self.entry.actions:
+            self._track_scheduler()
+            if not self._local_messages and not self.submissions.actions:
                 return
 
     def _route_entry_actions(self) -> None:
         """Sends the entry's messages and keeps its other actions."""
-        actions = self.entry.actions
-        self.entry.actions = []
+        actions = self.submissions.actions
+        self.submissions.actions = []
         for action in actions:
             match action:
-                case ToRegistry(message=message):
+                case SendToRegistry(message=message):
                     self._send_to_registry(message)
-                case ToScheduler(message=message):
-                    self._to_scheduler(message)
-                case ToNode(node=node, message=message):
+                case SendToScheduler(message=message):
+                    self._send_to_scheduler(message)
+                case SendToNode(node=node, message=message):
                     self._send(node, message)
                 case _:
                     self._actions.append(action)
@@ -627,7 +647,7 @@
             ready = self.control.group.take_ready()
             if ready:
                 self._is_persisting = True
-                messages = self.control.group.address(ready.messages)
+                messages = self.control.group.wrap_messages(ready.messages)
                 self._actions.append(
                     Persist(ready.records, messages, ready.last_index)
                 )
@@ -640,17 +660,17 @@
         registry.flush()
         group = registry.group
         while ready := group.take_ready():
-            for message in group.address(ready.messages):
+            for message in group.wrap_messages(ready.messages):
                 self._actions.append(Send(box_of(message.to), message))
             if group.consensus:
                 group.consensus.on_persisted(ready.last_index)
         registry.collect_results()
-        if registry.opening:
-            self._send_to_control(registry.opening)
-            registry.opening = None
-        if registry.keep_scheduler(self.cfg, self._workers):
+        if registry.open_request:
+            self._send_to_control(registry.open_request)
+            registry.open_request = None
+        if registry.update_scheduler(self.cfg, self._workers):
             self._next_heartbeat_ms = 0.0
-        registry.assign()
+        registry.grant_slots()
         self._send_all(registry.outbox)
 
     def _send_all(self, outbox: list[tuple[str, m.Message]]) -> None:
--- a/packages/box/src/clayfield/box/follower.py
+++ b/packages/box/src/clayfield/box/follower.py
@@ -7,9 +7,9 @@
 from clayfield.config import (
     EMPTY,
     Configuration,
-    from_bytes,
+    decode_config,
+    encode_config,
     patch,
-    to_bytes,
 )
 from clayfield.wire.messages import ConfigPull, ConfigPush
 
@@ -38,7 +38,7 @@
         """Version of the active configuration, 0 before the first."""
         return self.current.version
 
-    def pull_from(self, peer_version: int) -> ConfigPull | None:
+    def make_pull(self, peer_version: int) -> ConfigPull | None:
         """Returns the request for the changes that a peer has.
 
         Args:
@@ -70,7 +70,7 @@
             deltas = self._deltas[len(self._deltas) - missed :]
             if sum(map(len, deltas)) <= MAX_PUSH_BYTES:
                 return ConfigPush(pull.version, deltas, b"", self.version)
-        whole = to_bytes(self.current)
+        whole = encode_config(self.current)
         return ConfigPush(-1, [], whole, self.version)
 
     def on_push(self, push: ConfigPush) -> bool:
@@ -78,7 +78,7 @@
         if push.version <= self.version:
             return False
         if push.whole:
-            return self.take_whole(from_bytes(push.whole))
+            return self.apply_full(decode_config(push.whole))
         skip = self.version - push.base
         if skip < 0:
             return False
@@ -86,7 +86,7 @@
             self._apply_delta(delta)
         return True
 
-    def take_whole(self, cfg: Configuration) -> bool:
+    def apply_full(self, cfg: Configuration) -> bool:
         """Activates a whole configuration if its version is later.
 
         Returns:
@@ -98,7 +98,7 @@
         self._deltas.clear()
         return True
 
-    def take_deltas(self, deltas: list[bytes]) -> None:
+    def apply_deltas(self, deltas: list[bytes]) -> None:
         """Applies deltas, of which the first follows the active version."""
         for delta in deltas:
             self._apply_delta(delta)
--- a/packages/box/src/clayfield/box/targets.py
+++ b/packages/box/src/clayfield/box/heartbeat_targets.py
@@ -12,7 +12,7 @@
 from clayfield.state.membership import PeerTable
 
 
-def beat_targets(
+def heartbeat_targets(
     identity: Identity, peers: PeerTable, halls: Iterable[str]
 ) -> list[str]:
     """Returns the boxes to send heartbeats to, sorted.
--- a/packages/box/src/clayfield/box/identity.py
+++ b/packages/box/src/clayfield/box/identity.py
@@ -27,7 +27,7 @@
         box: name of the box.
         hall: name of its hall.
         incarnation: number of this start of the process; higher at each start.
-        disk: creation time of the data folder, in ns since 1970; identifies
+        disk_id: creation time of the data folder, in ns since 1970; identifies
             the folder. 0 without one.
         boxes: all boxes by name, this one included.
         node: name of this process, BOX/INCARNATION.
@@ -40,7 +40,7 @@
         "box",
         "boxes",
         "control_boxes",
-        "disk",
+        "disk_id",
         "hall",
         "halls",
         "incarnation",
@@ -52,12 +52,12 @@
         box: str,
         incarnation: int,
         boxes: dict[str, PeerAddress],
-        disk: int = 0,
+        disk_id: int = 0,
     ):
         self.box = box
         self.hall = boxes[box].hall
         self.incarnation = incarnation
-        self.disk = disk
+        self.disk_id = disk_id
         self.boxes = boxes
         self.node = node_name(box, incarnation)
         self.halls = tuple(sorted({peer.hall for peer in boxes.values()}))
@@ -72,7 +72,7 @@
     @property
     def control_node(self) -> str:
         """Name of this box's data folder as a node of the control log."""
-        return node_name(self.box, self.disk)
+        return node_name(self.box, self.disk_id)
 
     def hall_of(self, box: str) -> str:
         """Returns the hall of a box, "" if the box is not configured."""
--- a/packages/box/src/clayfield/box/applies.py
+++ b/packages/box/src/clayfield/box/pending_applies.py
@@ -1,16 +1,16 @@
 """Configurations that operators submitted here and that await a result."""
 
-from clayfield.base import Clock, Kind
-from clayfield.box.actions import Applied
-from clayfield.config import Configuration, to_bytes
-from clayfield.dispatch.outstanding import Outstanding
+from clayfield.base import Clock, ErrorKind
+from clayfield.box.actions import ApplyFinished
+from clayfield.config import Configuration, encode_config
+from clayfield.dispatch.retransmit import RetransmitTable
 from clayfield.wire.messages import ApplyReply, ApplyRequest
 
 RESEND_MS = 400.0
 TIMEOUT_MS = 5000.0
 
 
-class Applies:
+class PendingApplies:
     """Apply requests without a reply yet, by request number."""
 
     __slots__ = ("_clock", "_number", "_requests")
@@ -18,7 +18,9 @@
     def __init__(self, clock: Clock):
         self._clock = clock
         self._number = 0
-        self._requests: Outstanding[int, ApplyRequest] = Outstanding(RESEND_MS)
+        self._requests: RetransmitTable[int, ApplyRequest] = RetransmitTable(
+            RESEND_MS
+        )
 
     def add(self, cfg: Configuration) -> ApplyRequest:
         """Adds a validated configuration.
@@ -27,30 +29,32 @@
             The request to send to the leader of the control log.
         """
         self._number += 1
-        request = ApplyRequest(self._number, cfg.replaces, to_bytes(cfg))
+        request = ApplyRequest(self._number, cfg.replaces, encode_config(cfg))
         self._requests.add(self._number, request, self._clock.now_ms())
         return request
 
-    def on_reply(self, reply: ApplyReply) -> Applied | None:
+    def on_reply(self, reply: ApplyReply) -> ApplyFinished | None:
         """Returns the result of a request, None if it was returned before."""
         if self._requests.pop(reply.request) is None:
             return None
-        return Applied(reply.request, reply.version, reply.code, reply.detail)
+        return ApplyFinished(
+            reply.request, reply.version, reply.code, reply.detail
+        )
 
     def due(self) -> list[ApplyRequest]:
         """Returns the requests to send again now."""
         return self._requests.due(self._clock.now_ms())
 
-    def expire(self, version: int) -> list[Applied]:
+    def expire(self, version: int) -> list[ApplyFinished]:
         """Removes the requests that timed out and returns their results.
 
         Args:
             version: version of the active configuration.
         """
-        code = Kind.NO_CONTROL.code
+        code = ErrorKind.NO_CONTROL.code
         expired = self._requests.expire(self._clock.now_ms(), TIMEOUT_MS)
         return [
-            Applied(
+            ApplyFinished(
                 number,
                 version,
                 code,
--- a/packages/box/src/clayfield/box/registry.py
+++ b/packages/box/src/clayfield/box/registry.py
@@ -5,14 +5,14 @@
 for slots go to the same node and one lease covers both.
 """
 
-from clayfield.base import Clock, Kind, Problem, Ran
+from clayfield.base import Clock, ErrorKind, Problem, Ran
 from clayfield.config import Configuration
 from clayfield.dispatch import Scheduler, WorkerInfo, render_problem
 from clayfield.state.claims import (
-    Advance,
+    AdvanceTime,
     ClaimCommand,
     ClaimTable,
-    Open,
+    OpenTable,
     OwnerLost,
     encode_commands,
 )
@@ -48,8 +48,8 @@
         group: this node's member of the replicated group.
         scheduler: the hall's scheduler while this node leads, else None.
         outbox: (node, message) pairs to send; the caller empties it.
-        opening: request to the control log to record that the hall's claims
-            start, None if there is none to send.
+        open_request: request to the control log to record that the hall's
+            claims start, None if there is none to send.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.group = group
         self.scheduler: Scheduler | None = None
         self.outbox: list[tuple[str, Message]] = []
-        self.opening: OpenRequest | None = None
+        self.open_request: OpenRequest | None = None
         self._clock = clock
         self._batch: list[ClaimCommand] = []
         self._pending: dict[tuple[int, int], list[ClaimCommand]] = {}
@@ -84,17 +84,17 @@
         return self.group.machine
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this node leads the group and the table is open."""
         return self.group.is_leader and self.table.is_open
 
-    def take(self, command: ClaimCommand) -> bool:
+    def handle(self, command: ClaimCommand) -> bool:
         """Queues a command for the next log entry.
 
         Returns:
             False if this node does not lead; the command is then dropped.
         """
-        if not self.leads:
+        if not self.is_leader:
             return False
         self._batch.append(command)
         return True
@@ -135,17 +135,23 @@
         if self.table.is_open or consensus is None or not consensus.is_leader:
             return
         if reply.instance == consensus.group:
-            consensus.propose(encode_commands([Open(reply.count)]))
+            consensus.propose(encode_commands([OpenTable(reply.count)]))
 
     def _request_open(self) -> None:
         """Sets the open request, at intervals, once all replicas vote."""
         now_ms = self._clock.now_ms()
         consensus = self.group.consensus
-        if not (consensus and consensus.is_settled and self.group.is_whole):
+        if not (
+            consensus
+            and consensus.has_committed_in_term
+            and self.group.has_all_voters
+        ):
             return
         if now_ms - self._open_requested_ms >= OPEN_RESEND_MS:
             self._open_requested_ms = now_ms
-            self.opening = OpenRequest(self.hall, consensus.group, self._halls)
+            self.open_request = OpenRequest(
+                self.hall, consensus.group, self._halls
+            )
 
     # Periodic work.
 
@@ -166,12 +172,12 @@
         if not self.table.is_open:
             self._request_open()
         now_ms = self._clock.now_ms()
-        if not self.leads:
+        if not self.is_leader:
             self._advanced_ms = now_ms
             return
         if now_ms - self._advanced_ms >= ADVANCE_INTERVAL_MS:
             self._batch.append(
-                Advance(now_ms - self._advanced_ms, retention_ms)
+                AdvanceTime(now_ms - self._advanced_ms, retention_ms)
             )
             self._advanced_ms = now_ms
             self._end_lost_claims(peers)
@@ -182,13 +188,15 @@
         """Ends the open claims of owners that have restarted."""
         for owner in self.table.owners:
             if peers.is_superseded(owner):
-                problem = Problem(Kind.OWNER_LOST, "It restarted.", Ran.MAYBE)
+                problem = Problem(
+                    ErrorKind.OWNER_LOST, "It restarted.", Ran.MAYBE
+                )
                 outcome = render_problem(problem)
                 self._batch.append(OwnerLost(owner, outcome))
 
     # Scheduling.
 
-    def keep_scheduler(
+    def update_scheduler(
         self, cfg: Configuration, workers: list[WorkerInfo]
     ) -> bool:
         """Creates the scheduler when this node becomes leader, else drops it.
@@ -205,7 +213,7 @@
             self.scheduler = None
             return False
         is_current = self.scheduler and self._scheduler_term == consensus.term
-        if is_current or not self.leads:
+        if is_current or not self.is_leader:
             return False
         self._scheduler_term = consensus.term
         self.scheduler = Scheduler(
@@ -216,12 +224,12 @@
         self._synced_boxes = set()
         return True
 
-    def on_sync(self, node: str, sync: SlotSync) -> None:
+    def on_slot_sync(self, node: str, sync: SlotSync) -> None:
         """Handles a box's report of its slots and queued requests."""
         self._synced_boxes.add(box_of(node))
-        self.scheduler.on_sync(node, sync)
+        self.scheduler.on_slot_sync(node, sync)
 
-    def assign(self) -> None:
+    def grant_slots(self) -> None:
         """Grants free slots to queued requests while this node leads.
 
         Nothing is granted while a new scheduler waits for the slots that boxes
@@ -230,8 +238,8 @@
         if self.scheduler is None:
             return
         is_syncing = self._clock.now_ms() < self._sync_deadline_ms
-        if self.leads and not is_syncing:
-            self.scheduler.assign()
+        if self.is_leader and not is_syncing:
+            self.scheduler.grant_slots()
         self.outbox.extend(self.scheduler.outbox)
         self.scheduler.outbox.clear()
 
@@ -242,7 +250,7 @@
         if self._synced_boxes >= live:
             self._sync_deadline_ms = 0.0
         self.scheduler.tick()
-        for node in sorted(self.scheduler.nodes()):
+        for node in sorted(self.scheduler.active_nodes()):
             box = box_of(node)
             is_lost = peers.is_superseded(node) or (
                 box != box_of(self.group.node) and not peers.is_live(box)
--- a/packages/cli/src/clayfield/cli/commands.py
+++ b/packages/cli/src/clayfield/cli/commands.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer, task
 
 from clayfield.cli.client import Client, Response, gather
-from clayfield.config import BadConfigError, Configuration, parse
+from clayfield.config import Configuration, InvalidConfigError, parse
 
 EXIT_OK = 0
 EXIT_REFUSED = 1
@@ -120,7 +120,7 @@
     """
     try:
         return parse(read_file(name))
-    except BadConfigError as exc:
+    except InvalidConfigError as exc:
         problems = [
             {
                 "line": diagnostic.line,
@@ -128,9 +128,11 @@
                 "problem": diagnostic.problem,
                 "remedy": diagnostic.remedy,
             }
-            for diagnostic in exc.faults
+            for diagnostic in exc.diagnostics
         ]
-        text = "\n".join(f"{name}: {diagnostic}" for diagnostic in exc.faults)
+        text = "\n".join(
+            f"{name}: {diagnostic}" for diagnostic in exc.diagnostics
+        )
         ctx.print({"faults": problems}, text)
         raise ExitError(
             EXIT_REFUSED, f"{name}: {len(problems)} errors; nothing was applied"
--- a/packages/cli/src/clayfield/cli/settings.py
+++ b/packages/cli/src/clayfield/cli/settings.py
@@ -1,6 +1,6 @@
 """Settings of the command line."""
 
-from clayfield.base.settings import Setting, whole_number
+from clayfield.base.settings import Setting, int_in_range
 
 SETTINGS = (
     Setting(
@@ -18,7 +18,7 @@
     ),
     Setting(
         "timeout_s",
-        whole_number(1, 3600),
+        int_in_range(1, 3600),
         "30",
         "time limit for a response, in seconds",
     ),
--- a/packages/cluster/src/clayfield/cluster/__init__.py
+++ b/packages/cluster/src/clayfield/cluster/__init__.py
@@ -5,24 +5,24 @@
 """
 
 from clayfield.cluster.actions import (
+    Broadcast,
     Persist,
-    Publish,
     Send,
-    Settled,
+    WriteFinished,
     WriteOutcome,
 )
-from clayfield.cluster.control import ControlNode, first_records
-from clayfield.cluster.directory import ControlState
+from clayfield.cluster.control import ControlNode, make_initial_records
+from clayfield.cluster.control_state import ControlState
 from clayfield.cluster.voters import VoterPolicy
 
 __all__ = [
+    "Broadcast",
     "ControlNode",
     "ControlState",
     "Persist",
-    "Publish",
     "Send",
-    "Settled",
     "VoterPolicy",
+    "WriteFinished",
     "WriteOutcome",
-    "first_records",
+    "make_initial_records",
 ]
--- a/packages/cluster/src/clayfield/cluster/actions.py
+++ b/packages/cluster/src/clayfield/cluster/actions.py
@@ -3,7 +3,7 @@
 import enum
 
 from clayfield.state import Record
-from clayfield.wire.messages import Grouped, Message
+from clayfield.wire.messages import GroupMessage, Message
 
 
 class WriteOutcome(enum.Enum):
@@ -33,7 +33,7 @@
         self.message = message
 
 
-class Publish:
+class Broadcast:
     """Send a message to all connected entry nodes.
 
     Attributes:
@@ -59,14 +59,17 @@
     __slots__ = ("last_index", "messages", "records")
 
     def __init__(
-        self, records: list[Record], messages: list[Grouped], last_index: int
+        self,
+        records: list[Record],
+        messages: list[GroupMessage],
+        last_index: int,
     ):
         self.records = records
         self.messages = messages
         self.last_index = last_index
 
 
-class Settled:
+class WriteFinished:
     """Answer an operator's write of a configuration.
 
     Attributes:
@@ -83,4 +86,4 @@
         self.version = version
 
 
-Action = Send | Publish | Persist | Settled
+Action = Send | Broadcast | Persist | WriteFinished
--- a/packages/cluster/src/clayfield/cluster/control.py
+++ b/packages/cluster/src/clayfield/cluster/control.py
@@ -10,29 +10,29 @@
 from clayfield.base import Clock
 from clayfield.cluster.actions import (
     Action,
+    Broadcast,
     Persist,
-    Publish,
     Send,
-    Settled,
+    WriteFinished,
     WriteOutcome,
 )
-from clayfield.cluster.directory import (
+from clayfield.cluster.control_state import (
     ControlState,
     SetConfig,
     encode_command,
 )
-from clayfield.cluster.holders import HolderChoice
-from clayfield.cluster.ledger import LeaderLedger
+from clayfield.cluster.holder_selection import HolderSelector
+from clayfield.cluster.job_store_leader import JobStoreLeader
 from clayfield.cluster.voters import VoterPolicy
 from clayfield.cluster.workers import WorkerDirectory
 from clayfield.state import (
     Append,
-    Born,
     Consensus,
     HardState,
+    LogCreated,
     Ready,
     Record,
-    Replayed,
+    RestoredState,
     Timing,
     encode_members,
 )
@@ -46,11 +46,11 @@
     WorkerLeft,
     WorkersPush,
 )
+from clayfield.wire.job_store import LoadJobs, WriteJobs
 from clayfield.wire.jobs import WorkerInfo
-from clayfield.wire.ledger import LoadJobs, WriteJobs
 from clayfield.wire.messages import (
     AppendRequest,
-    Grouped,
+    GroupMessage,
     Members,
     Message,
 )
@@ -62,17 +62,21 @@
 RESEND_INTERVAL_MS = 200.0
 # Time after which an uncommitted write is answered with an unknown outcome.
 WRITE_TIMEOUT_MS = 3000.0
-TIMING = Timing(election_ms=500.0, heartbeat_ms=100.0, compact_entries=64)
+TIMING = Timing(
+    election_timeout_ms=500.0,
+    heartbeat_interval_ms=100.0,
+    snapshot_threshold=64,
+)
 
 
-def first_records(voters: tuple[str, ...]) -> list[Record]:
+def make_initial_records(voters: tuple[str, ...]) -> list[Record]:
     """Returns the initial contents of the store of each first voter.
 
     Args:
         voters: names of the first voters.
     """
     return [
-        Born(GROUP),
+        LogCreated(GROUP),
         HardState(1, ""),
         Append(1, encode_members(1, Members(voters))),
     ]
@@ -103,7 +107,7 @@
         node: str,
         clock: Clock,
         rng: random.Random,
-        stored: Replayed,
+        stored: RestoredState,
         voters: VoterPolicy,
         heartbeat_ms: float,
         keep_ended_ms: float = 120_000.0,
@@ -131,12 +135,12 @@
             clock,
             rng,
             TIMING,
-            stored.hard,
+            stored.hard_state,
             stored.log,
         )
         self.workers = WorkerDirectory(clock, heartbeat_ms)
-        self._holder_selector = HolderChoice(clock)
-        self._job_store_leader = LeaderLedger(
+        self._holder_selector = HolderSelector(clock)
+        self._job_store_leader = JobStoreLeader(
             clock, self.consensus, self.state, keep_ended_ms
         )
         self._control_nodes: dict[str, str] = {}
@@ -160,12 +164,12 @@
         return box_of(leader)
 
     @property
-    def is_sure(self) -> bool:
+    def is_state_current(self) -> bool:
         """Whether this node leads and its state is certain to be the latest."""
-        return self.consensus.has_lease and self.consensus.is_settled
+        return self.consensus.has_lease and self.consensus.has_committed_in_term
 
     @property
-    def has_entries(self) -> bool:
+    def has_entry_nodes(self) -> bool:
         """Whether an entry node is connected."""
         return bool(self._holder_selector.nodes())
 
@@ -176,14 +180,14 @@
 
     # Events.
 
-    def learn_addresses(self, addresses: tuple[str, ...]) -> None:
+    def add_addresses(self, addresses: tuple[str, ...]) -> None:
         """Adds addresses of control nodes."""
         self._addresses.update(addresses)
 
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles a new connection of a node."""
         if greeting.role == ENTRY_ROLE:
-            self._holder_selector.on_open(greeting)
+            self._holder_selector.on_connected(greeting)
             self._send_current_state(greeting.node)
         else:
             self._control_nodes[greeting.node] = greeting.hall
@@ -201,47 +205,47 @@
         addresses = (*self.addresses, box_of(self.node))
         self._send(node, ControlNodes(tuple(sorted(addresses))))
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the end of the connection of a node."""
-        self._holder_selector.on_closed(node)
+        self._holder_selector.on_disconnected(node)
         if self._control_nodes.pop(node, None) is not None:
-            self.consensus.on_closed(box_of(node))
+            self.consensus.on_disconnected(box_of(node))
 
     def on_message(self, node: str, message: Message) -> None:
         """Handles a message of a node."""
         match message:
-            case Grouped(source=source, to=to, body=body):
+            case GroupMessage(source=source, to=to, body=body):
                 if to == self.node:
                     self.consensus.on_message(source, body)
             case EntryStatus():
                 self._holder_selector.on_status(node, message)
-                if self.is_sure:
+                if self.is_state_current:
                     self._actions += self._job_store_leader.on_status(
                         node, message
                     )
             case LoadJobs():
-                if self.is_sure:
+                if self.is_state_current:
                     self._actions += self._job_store_leader.on_load(
                         node, message
                     )
             case WriteJobs():
-                if self.is_sure:
+                if self.is_state_current:
                     self._job_store_leader.on_write(node, message)
             case ControlNodes(addresses=addresses):
-                self.learn_addresses(addresses)
+                self.add_addresses(addresses)
 
-    def on_worker(self, info: WorkerInfo) -> None:
+    def on_worker_heartbeat(self, info: WorkerInfo) -> None:
         """Handles a heartbeat of a worker."""
-        if self.workers.on_statement(info):
-            self._actions.append(Publish(WorkersPush((info,))))
+        if self.workers.on_heartbeat(info):
+            self._actions.append(Broadcast(WorkersPush((info,))))
 
-    def on_worker_left(self, name: str) -> None:
+    def on_worker_removed(self, name: str) -> None:
         """Handles the announcement of a worker that it has left."""
         self.workers.on_leave(name)
-        self._actions.append(Publish(WorkerLeft(name)))
+        self._actions.append(Broadcast(WorkerLeft(name)))
 
-    def write(self, request: int, version: int, document: bytes) -> bool:
-        """Proposes a configuration; a `Settled` action follows.
+    def write_config(self, request: int, version: int, document: bytes) -> bool:
+        """Proposes a configuration; a `WriteFinished` action follows.
 
         Args:
             request: number of the request, repeated in the action.
@@ -251,7 +255,7 @@
         Returns:
             Whether the write was accepted; only the leader accepts writes.
         """
-        if not self.is_sure:
+        if not self.is_state_current:
             return False
         if version <= self.state.version:
             self._finish_write(
@@ -277,13 +281,13 @@
         and the resending of state to entry nodes.
         """
         self.consensus.tick()
-        if self.is_sure:
+        if self.is_state_current:
             self._run_leader_work()
         else:
-            self._holder_selector.on_follow()
+            self._holder_selector.on_leadership_lost()
         if not self.consensus.is_leader:
-            self._job_store_leader.on_follow()
-        self.workers.forget_silent()
+            self._job_store_leader.on_leadership_lost()
+        self.workers.remove_expired()
         now_ms = self._clock.now_ms()
         if now_ms >= self._next_resend_ms:
             self._next_resend_ms = now_ms + RESEND_INTERVAL_MS
@@ -330,9 +334,9 @@
         an entry only once that is stored. All other messages imply that the
         records are stored, and are sent after that.
         """
-        after_storing: list[Grouped] = []
+        after_storing: list[GroupMessage] = []
         for to, body in ready.messages:
-            message = Grouped(self.node, to, body)
+            message = GroupMessage(self.node, to, body)
             if isinstance(body, AppendRequest):
                 self._send(to, message)
             else:
@@ -346,12 +350,12 @@
         self._actions += self._job_store_leader.on_applied(results)
         if self.state.version > self._published_version:
             self._published_version = self.state.version
-            self._actions.append(Publish(self._config_push()))
+            self._actions.append(Broadcast(self._config_push()))
         grant: Grant = self.state.grant
         if grant.epoch > self._published_epoch:
             self._published_epoch = grant.epoch
             self._holder_selector.on_granted()
-            self._actions.append(Publish(grant))
+            self._actions.append(Broadcast(grant))
 
     def _finish_writes(self) -> None:
         now_ms = self._clock.now_ms()
@@ -368,7 +372,7 @@
     def _finish_write(
         self, request: int, outcome: WriteOutcome, version: int
     ) -> None:
-        self._actions.append(Settled(request, outcome, version))
+        self._actions.append(WriteFinished(request, outcome, version))
 
     def _config_push(self) -> ConfigPush:
         return ConfigPush(self.state.version, self.state.document)
--- a/packages/cluster/src/clayfield/cluster/directory.py
+++ b/packages/cluster/src/clayfield/cluster/control_state.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from clayfield.base import Clock
-from clayfield.cluster.jobbook import JobBook, JobsImage
+from clayfield.cluster.job_store import JobStore, JobStoreSnapshot
 from clayfield.state.machine import StateMachine
 from clayfield.wire.cluster import Grant
-from clayfield.wire.ledger import JobChange
+from clayfield.wire.job_store import JobChange
 
 
 class SetConfig(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -80,7 +80,7 @@
     epoch: int
     holder: str
     standbys: dict[str, str]
-    jobs: JobsImage = msgspec.field(default_factory=JobsImage)
+    jobs: JobStoreSnapshot = msgspec.field(default_factory=JobStoreSnapshot)
 
 
 _command_decoder = msgspec.msgpack.Decoder(Command)
@@ -108,7 +108,7 @@
         self.version = 0
         self.document = b""
         self.grant = Grant(0, "")
-        self.jobs = JobBook(clock)
+        self.jobs = JobStore(clock)
 
     def apply(self, command: bytes) -> bool:
         """Applies a command; returns whether it took effect."""
@@ -121,7 +121,7 @@
             case SetJobs():
                 return self._set_jobs(decoded)
             case ForgetJobs(keys=keys):
-                self.jobs.forget(keys)
+                self.jobs.delete_ended(keys)
         return True
 
     def _set_config(self, command: SetConfig) -> bool:
@@ -154,7 +154,7 @@
             grant.epoch,
             grant.holder,
             grant.standbys,
-            self.jobs.image(),
+            self.jobs.snapshot(),
         )
         return msgspec.msgpack.encode(saved)
 
--- a/packages/cluster/src/clayfield/cluster/holders.py
+++ b/packages/cluster/src/clayfield/cluster/holder_selection.py
@@ -8,7 +8,7 @@
 """
 
 from clayfield.base import Clock
-from clayfield.cluster.directory import SetGrant
+from clayfield.cluster.control_state import SetGrant
 from clayfield.state.membership import box_of
 from clayfield.wire.cluster import EntryStatus, Grant, NodeGreeting
 
@@ -42,7 +42,7 @@
         self.status = EntryStatus(0, 0, False)
 
 
-class HolderChoice:
+class HolderSelector:
     """Tracks the connected entry nodes and selects holder and standbys."""
 
     __slots__ = (
@@ -60,13 +60,13 @@
         self._leading_since_ms: float | None = None
         self._proposed_ms = -PROPOSAL_TIMEOUT_MS
 
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles a new connection of an entry node."""
         now_ms = self._clock.now_ms()
         self._entry_nodes[greeting.node] = _EntryNode(greeting.hall, now_ms)
         self._disconnected_since.pop(greeting.node, None)
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the end of the connection of an entry node."""
         if self._entry_nodes.pop(node, None):
             self._disconnected_since[node] = self._clock.now_ms()
@@ -86,7 +86,7 @@
         entry = self._entry_nodes.get(node)
         return entry.status if entry else None
 
-    def on_follow(self) -> None:
+    def on_leadership_lost(self) -> None:
         """Records that this control node is not the leader."""
         self._leading_since_ms = None
 
@@ -126,7 +126,7 @@
 
     def _is_new_epoch_requested(self, grant: Grant) -> bool:
         return any(
-            entry.status.needs_epoch and entry.status.epoch == grant.epoch
+            entry.status.needs_new_epoch and entry.status.epoch == grant.epoch
             for entry in self._entry_nodes.values()
         )
 
--- a/packages/cluster/src/clayfield/cluster/jobbook.py
+++ b/packages/cluster/src/clayfield/cluster/job_store.py
@@ -8,18 +8,18 @@
 import msgspec
 
 from clayfield.base import Clock
-from clayfield.wire.jobs import JobState
-from clayfield.wire.ledger import (
+from clayfield.wire.job_store import (
     AcceptJob,
-    CancelAccepted,
+    CancelKeptJob,
     EndTask,
     JobChange,
     KeptJob,
     TaskFailures,
 )
+from clayfield.wire.jobs import JobState
 
 
-class JobsImage(msgspec.Struct, array_like=True):
+class JobStoreSnapshot(msgspec.Struct, array_like=True):
     """A snapshot of the job store.
 
     Attributes:
@@ -64,7 +64,7 @@
         self.since_ms = since_ms
 
 
-class JobBook:
+class JobStore:
     """The kept jobs, by key.
 
     The jobs and their states depend on the applied changes only. The clock
@@ -86,15 +86,15 @@
         for change in changes:
             match change:
                 case AcceptJob(job=job):
-                    stages = job.times * len(job.steps)
+                    stages = job.iteration_count * len(job.steps)
                     self._accept(KeptJob(job, [[] for _ in range(stages)]))
                 case EndTask():
                     self._end_task(change)
-                case CancelAccepted(key=key):
+                case CancelKeptJob(key=key):
                     if key in self._open_jobs:
                         self._end(key, JobState.CANCELLED)
 
-    def forget(self, keys: tuple[str, ...]) -> None:
+    def delete_ended(self, keys: tuple[str, ...]) -> None:
         """Removes ended jobs; other keys are ignored."""
         for key in keys:
             self._ended_jobs.pop(key, None)
@@ -108,14 +108,14 @@
         entry = self._open_jobs.get(change.key)
         if entry is None:
             return
-        if change.is_done:
+        if change.has_succeeded:
             self._record_done(entry, change)
         else:
             self._record_failure(entry, change)
 
     def _record_done(self, entry: _OpenJob, change: EndTask) -> None:
         job = entry.kept.job
-        done = entry.kept.done[job.stage_of(change.step, change.time)]
+        done = entry.kept.done[job.stage_of(change.step, change.iteration)]
         if change.index in done:
             return
         done.append(change.index)
@@ -124,7 +124,7 @@
             self._end(change.key, JobState.COMPLETED)
 
     def _record_failure(self, entry: _OpenJob, change: EndTask) -> None:
-        stage = entry.kept.job.stage_of(change.step, change.time)
+        stage = entry.kept.job.stage_of(change.step, change.iteration)
         failures = _find_or_add_failures(entry.kept, stage, change.index)
         if change.run <= failures.last_run:
             return
@@ -146,39 +146,42 @@
             entry.kept.age_ms = now_ms - entry.since_ms
         return [entry.kept for entry in self._open_jobs.values()]
 
-    def ended(self) -> dict[str, JobState]:
+    def ended_states(self) -> dict[str, JobState]:
         """Returns the states of the ended jobs by key, earliest end first."""
         return {key: entry.state for key, entry in self._ended_jobs.items()}
 
-    def ended_before(self, before_ms: float, most: int) -> tuple[str, ...]:
+    def find_ended_before(
+        self, before_ms: float, limit: int
+    ) -> tuple[str, ...]:
         """Returns the keys of jobs that ended before a time, earliest first.
 
         Args:
             before_ms: time on this node's clock, in ms.
-            most: maximum number of keys to return.
+            limit: maximum number of keys to return.
         """
         keys: list[str] = []
         for key, entry in self._ended_jobs.items():
-            if entry.since_ms >= before_ms or len(keys) >= most:
+            if entry.since_ms >= before_ms or len(keys) >= limit:
                 break
             keys.append(key)
         return tuple(keys)
 
     # Snapshots.
 
-    def image(self) -> JobsImage:
+    def snapshot(self) -> JobStoreSnapshot:
         """Returns the whole store as part of a snapshot."""
-        return JobsImage(self.open_jobs(), self.ended())
+        return JobStoreSnapshot(self.open_jobs(), self.ended_states())
 
-    def restore(self, image: JobsImage) -> None:
-        """Replaces the store by one that `image` returned."""
+    def restore(self, snapshot: JobStoreSnapshot) -> None:
+        """Replaces the store by one that `snapshot` returned."""
         now_ms = self._clock.now_ms()
         self._open_jobs = {
             kept.job.key: _OpenJob(kept, now_ms - kept.age_ms)
-            for kept in image.open_jobs
+            for kept in snapshot.open_jobs
         }
         self._ended_jobs = {
-            key: _EndedJob(state, now_ms) for key, state in image.ended.items()
+            key: _EndedJob(state, now_ms)
+            for key, state in snapshot.ended.items()
         }
 
 
--- a/packages/cluster/src/clayfield/cluster/ledger.py
+++ b/packages/cluster/src/clayfield/cluster/job_store_leader.py
@@ -7,7 +7,7 @@
 
 from clayfield.base import Clock
 from clayfield.cluster.actions import Action, Send
-from clayfield.cluster.directory import (
+from clayfield.cluster.control_state import (
     ControlState,
     ForgetJobs,
     SetJobs,
@@ -15,7 +15,7 @@
 )
 from clayfield.state import Consensus
 from clayfield.wire.cluster import EntryStatus
-from clayfield.wire.ledger import (
+from clayfield.wire.job_store import (
     HolderLease,
     JobsLoaded,
     JobsWritten,
@@ -46,7 +46,7 @@
         self.write = write
 
 
-class LeaderLedger:
+class JobStoreLeader:
     """Handles the requests of the holder while this control node leads."""
 
     def __init__(
@@ -89,7 +89,7 @@
 
     def _make_parts(self, request: int) -> list[JobsLoaded]:
         open_jobs = self._state.jobs.open_jobs()
-        ended = list(self._state.jobs.ended().items())
+        ended = list(self._state.jobs.ended_states().items())
         parts: list[JobsLoaded] = []
         while True:
             open_part = open_jobs[:OPEN_JOBS_PER_PART]
@@ -134,7 +134,7 @@
                 replies.append(Send(pending.node, reply))
         return replies
 
-    def on_follow(self) -> None:
+    def on_leadership_lost(self) -> None:
         """Drops the pending writes; the holder sends them again."""
         self._pending_writes.clear()
 
@@ -144,7 +144,7 @@
         if now_ms < self._next_removal_ms:
             return
         self._next_removal_ms = now_ms + REMOVAL_INTERVAL_MS
-        keys = self._state.jobs.ended_before(
+        keys = self._state.jobs.find_ended_before(
             now_ms - self._keep_ended_ms, MAX_REMOVED_AT_ONCE
         )
         if keys:
--- a/packages/cluster/src/clayfield/cluster/voters.py
+++ b/packages/cluster/src/clayfield/cluster/voters.py
@@ -115,7 +115,7 @@
 
 
 def _is_caught_up(consensus: Consensus, node: str) -> bool:
-    lag = consensus.lag_of(node)
+    lag = consensus.get_lag(node)
     return lag is not None and lag <= MAX_LAG_TO_VOTE
 
 
--- a/packages/cluster/src/clayfield/cluster/workers.py
+++ b/packages/cluster/src/clayfield/cluster/workers.py
@@ -31,7 +31,7 @@
         self._last_heartbeat_ms: dict[str, float] = {}
         self._left_ms: dict[str, float] = {}
 
-    def on_statement(self, info: WorkerInfo) -> bool:
+    def on_heartbeat(self, info: WorkerInfo) -> bool:
         """Records a heartbeat of a worker.
 
         Returns:
@@ -53,7 +53,7 @@
         self._last_heartbeat_ms.pop(name, None)
         self._left_ms[name] = self._clock.now_ms()
 
-    def forget_silent(self) -> None:
+    def remove_expired(self) -> None:
         """Removes the workers that missed too many heartbeats."""
         cutoff_ms = self._clock.now_ms() - self._expiry_ms
         for name, last_ms in list(self._last_heartbeat_ms.items()):
--- a/packages/config/src/clayfield/config/__init__.py
+++ b/packages/config/src/clayfield/config/__init__.py
@@ -1,7 +1,7 @@
 """The declarative configuration: its model, file parser and deltas."""
 
-from clayfield.config.delta import diff, patch, version_of
-from clayfield.config.faults import BadConfigError, Fault
+from clayfield.config.delta import delta_version, diff, patch
+from clayfield.config.diagnostics import Diagnostic, InvalidConfigError
 from clayfield.config.model import (
     EMPTY,
     Configuration,
@@ -12,16 +12,16 @@
     Operator,
     PriorityClass,
     Service,
-    from_bytes,
-    to_bytes,
+    decode_config,
+    encode_config,
 )
 from clayfield.config.parse import parse
 
 __all__ = [
     "EMPTY",
-    "BadConfigError",
+    "InvalidConfigError",
     "Configuration",
-    "Fault",
+    "Diagnostic",
     "Hall",
     "Job",
     "Limits",
@@ -30,9 +30,9 @@
     "PriorityClass",
     "Service",
     "diff",
-    "from_bytes",
+    "decode_config",
     "parse",
     "patch",
-    "to_bytes",
-    "version_of",
+    "encode_config",
+    "delta_version",
 ]
--- a/packages/config/src/clayfield/config/delta.py
+++ b/packages/config/src/clayfield/config/delta.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from clayfield.config.model import Configuration, from_bytes, to_bytes
+from clayfield.config.model import Configuration, decode_config, encode_config
 
 TABLES = ("halls", "classes", "services", "jobs", "members", "operators")
 
@@ -51,7 +51,7 @@
     return _encoder.encode(Delta(after.version, put, drop))
 
 
-def version_of(delta: bytes) -> int:
+def delta_version(delta: bytes) -> int:
     """Returns the version that an encoded delta leads to."""
     return _decoder.decode(delta).version
 
@@ -68,7 +68,7 @@
             f"delta to version {change.version} does not apply to version"
             f" {before.version}"
         )
-    tree = msgspec.json.decode(to_bytes(before))
+    tree = msgspec.json.decode(encode_config(before))
     tree["replaces"] = change.version - 1
     for path in change.drop:
         table, _, name = path.partition("/")
@@ -80,4 +80,4 @@
             tree[table][name] = decoded
         else:
             tree[table] = decoded
-    return from_bytes(msgspec.json.encode(tree))
+    return decode_config(msgspec.json.encode(tree))
--- a/packages/config/src/clayfield/config/faults.py
+++ b/packages/config/src/clayfield/config/diagnostics.py
@@ -1,9 +1,9 @@
 """Errors found in a configuration file."""
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 
 
-class Fault:
+class Diagnostic:
     """One error in a file, with its position.
 
     Attributes:
@@ -26,15 +26,16 @@
         return f"{location}: {self.problem}. {self.remedy}"
 
 
-class BadConfigError(ClayfieldError):
+class InvalidConfigError(ClayfieldError):
     """Raised for a configuration file with errors.
 
     Attributes:
-        faults: all errors found.
+        diagnostics: all errors found.
     """
 
-    def __init__(self, faults: list[Fault]):
+    def __init__(self, diagnostics: list[Diagnostic]):
         super().__init__(
-            Kind.BAD_CONFIG, " ".join(f"[{fault}]" for fault in faults)
+            ErrorKind.BAD_CONFIG,
+            " ".join(f"[{diagnostic}]" for diagnostic in diagnostics),
         )
-        self.faults = faults
+        self.diagnostics = diagnostics
--- a/packages/config/src/clayfield/config/model.py
+++ b/packages/config/src/clayfield/config/model.py
@@ -160,7 +160,7 @@
         """Version number of this configuration once it is accepted."""
         return self.replaces + 1
 
-    def ranks(self) -> dict[str, int]:
+    def class_ranks(self) -> dict[str, int]:
         """Returns the rank of each priority class; 0 is served first."""
         order = sorted(
             self.classes,
@@ -180,7 +180,7 @@
 _decoder = msgspec.json.Decoder(Configuration)
 
 
-def to_bytes(configuration: Configuration) -> bytes:
+def encode_config(configuration: Configuration) -> bytes:
     """Returns the canonical encoding of a configuration.
 
     Equal configurations have equal encodings.
@@ -188,7 +188,7 @@
     return _encoder.encode(configuration)
 
 
-def from_bytes(data: bytes) -> Configuration:
+def decode_config(data: bytes) -> Configuration:
     """Returns the configuration with a canonical encoding.
 
     Raises:
--- a/packages/config/src/clayfield/config/parse.py
+++ b/packages/config/src/clayfield/config/parse.py
@@ -8,7 +8,7 @@
 import msgspec
 import yaml
 
-from clayfield.config.faults import BadConfigError, Fault
+from clayfield.config.diagnostics import Diagnostic, InvalidConfigError
 from clayfield.config.model import Configuration, _Section
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
@@ -21,7 +21,8 @@
         text: the file in YAML.
 
     Raises:
-        BadConfigError: the file has errors; lists each with line and remedy.
+        InvalidConfigError: the file has errors; lists each with line and
+            remedy.
     """
     if len(text) > MAX_FILE_BYTES:
         _reject(0, "", f"file exceeds {MAX_FILE_BYTES} characters", "Split it.")
@@ -36,25 +37,27 @@
     reader = _Reader()
     values = reader.read_section(root, Configuration, "")
     reader.check_references(values)
-    if reader.faults:
-        raise BadConfigError(sorted(reader.faults, key=lambda f: f.line))
+    if reader.diagnostics:
+        raise InvalidConfigError(
+            sorted(reader.diagnostics, key=lambda f: f.line)
+        )
     return msgspec.convert(values, Configuration)
 
 
 def _reject(line: int, path: str, problem: str, remedy: str) -> typing.NoReturn:
     """Raises an error for a file that cannot be parsed further."""
-    raise BadConfigError([Fault(line, path, problem, remedy)])
+    raise InvalidConfigError([Diagnostic(line, path, problem, remedy)])
 
 
 class _Reader:
     """Converts YAML nodes to plain values and checks them by type.
 
     Attributes:
-        faults: the errors found so far.
+        diagnostics: the errors found so far.
     """
 
     def __init__(self) -> None:
-        self.faults: list[Fault] = []
+        self.diagnostics: list[Diagnostic] = []
         self._lines: dict[str, int] = {"": 1}
 
     def read_section(
@@ -211,8 +214,8 @@
         self, node: yaml.Node, path: str, problem: str, remedy: str
     ) -> None:
         line = node.start_mark.line + 1
-        self.faults.append(Fault(line, path, problem, remedy))
+        self.diagnostics.append(Diagnostic(line, path, problem, remedy))
 
     def _add_diagnostic_at(self, path: str, problem: str, remedy: str) -> None:
         line = self._lines.get(path, 1)
-        self.faults.append(Fault(line, path, problem, remedy))
+        self.diagnostics.append(Diagnostic(line, path, problem, remedy))
--- a/packages/daemon/src/clayfield/daemon/callers.py
+++ b/packages/daemon/src/clayfield/daemon/callers.py
@@ -6,21 +6,21 @@
 import msgspec
 from twisted.web import http, resource, server
 
-from clayfield.base import ClayfieldError, Kind, Problem, Ran
+from clayfield.base import ClayfieldError, ErrorKind, Problem, Ran
 from clayfield.box import BoxCore
 from clayfield.config import Configuration
 from clayfield.daemon.http import (
     HTTP_OK,
     JSON_TYPE,
     PROBLEM_TYPE,
-    Endpoint,
+    ProblemResource,
     read_json,
     token_hash,
     write_json,
 )
 from clayfield.daemon.tracing import Tracing
-from clayfield.dispatch import JobRequest, read_problem, retry_after_s
-from clayfield.state import owned_key
+from clayfield.dispatch import JobRequest, parse_problem, retry_after_s
+from clayfield.state import member_key
 from clayfield.wire.messages import Outcome
 
 MAX_KEY_LENGTH = 200
@@ -94,7 +94,7 @@
             b"content-type", JSON_TYPE if is_success else PROBLEM_TYPE
         )
         if not is_success:
-            retry_ms = read_problem(outcome.body).retry_after_ms
+            retry_ms = parse_problem(outcome.body).retry_after_ms
             if retry_ms is not None:
                 after_s = str(retry_after_s(retry_ms))
                 request.setHeader(b"retry-after", after_s.encode())
@@ -108,15 +108,18 @@
 
     Attributes:
         core: the state machine of the box.
-        kick: schedules the pending actions of `core`.
+        schedule_actions: schedules the pending actions of `core`.
         tracing: the spans of this box's submissions.
     """
 
     def __init__(
-        self, core: BoxCore, tracing: Tracing, kick: Callable[[], None]
+        self,
+        core: BoxCore,
+        tracing: Tracing,
+        schedule_actions: Callable[[], None],
     ):
         self.core = core
-        self.kick = kick
+        self.schedule_actions = schedule_actions
         self.tracing = tracing
         self._members: dict[str, str] = {}
         self._members_version = -1
@@ -126,18 +129,19 @@
         """The configuration in force."""
         return self.core.cfg
 
-    def check_ready(self, is_first: bool) -> None:
+    def check_ready(self, is_first_attempt: bool) -> None:
         """Checks that the box has a configuration.
 
         Args:
-            is_first: whether the caller never sent the submission before.
+            is_first_attempt: whether the caller never sent the submission
+                before.
 
         Raises:
             ClayfieldError: of kind NOT_READY.
         """
         if not self.cfg.version:
-            ran = Ran.NO if is_first else Ran.MAYBE
-            raise ClayfieldError(Kind.NOT_READY, "", ran, RETRY_AFTER_MS)
+            ran = Ran.NO if is_first_attempt else Ran.MAYBE
+            raise ClayfieldError(ErrorKind.NOT_READY, "", ran, RETRY_AFTER_MS)
 
     def authenticate(self, request: http.Request) -> str:
         """Returns the member that the bearer token of a request belongs to.
@@ -154,7 +158,7 @@
             }
         member = self._members.get(token_hash(request))
         if member is None:
-            raise ClayfieldError(Kind.UNAUTHENTICATED)
+            raise ClayfieldError(ErrorKind.UNAUTHENTICATED)
         return member
 
 
@@ -183,26 +187,26 @@
         return self._submit_resource.render(request)
 
 
-class _SubmitResource(Endpoint):
+class _SubmitResource(ProblemResource):
     def __init__(self, callers: Callers):
         super().__init__()
         self._callers = callers
 
     def render_POST(self, request: http.Request) -> int:  # noqa: N802
         """Accepts a submission; the response is sent when it ends."""
-        is_first = request.getHeader(FIRST_SEND_HEADER) == TRUE
-        self._callers.check_ready(is_first)
+        is_first_attempt = request.getHeader(FIRST_SEND_HEADER) == TRUE
+        self._callers.check_ready(is_first_attempt)
         member = self._callers.authenticate(request)
         key = check_key(request.getHeader("idempotency-key"))
         body = request.content.read()
         submission = read_json(body, _decoder)
         if submission.member != member:
             raise ClayfieldError(
-                Kind.FORBIDDEN,
+                ErrorKind.FORBIDDEN,
                 f"The token does not belong to member {submission.member!r}.",
             )
-        submission, refusal = fill_in(submission, self._callers.cfg)
-        self._submit(request, key, body, submission, is_first, refusal)
+        submission, refusal = apply_job_defaults(submission, self._callers.cfg)
+        self._submit(request, key, body, submission, is_first_attempt, refusal)
         return server.NOT_DONE_YET
 
     def _submit(
@@ -211,16 +215,16 @@
         key: str,
         body: bytes,
         submission: SubmissionBody,
-        is_first: bool,
+        is_first_attempt: bool,
         refusal: Problem | None,
     ) -> None:
         core = self._callers.core
         waiter = Waiter(request)
-        traceparent = self._callers.tracing.begin(
+        traceparent = self._callers.tracing.start_submission(
             key, request.getHeader("traceparent") or ""
         )
         request.notifyFinish().addErrback(
-            self._on_disconnected, waiter, owned_key(submission.member, key)
+            self._on_disconnected, waiter, member_key(submission.member, key)
         )
         core.submit(
             JobRequest(
@@ -232,19 +236,19 @@
                 [bytes(task) for task in submission.tasks],
                 bool(submission.repeatable),
                 float(submission.deadline_ms or 0),
-                is_first,
+                is_first_attempt,
                 traceparent,
                 refusal,
             ),
             waiter,
         )
-        self._callers.kick()
+        self._callers.schedule_actions()
 
     def _on_disconnected(
         self, reason: object, waiter: Waiter, key: str
     ) -> None:
         waiter.is_disconnected = True
-        self._callers.core.entry.drop_waiter(key, waiter)
+        self._callers.core.submissions.remove_waiter(key, waiter)
 
 
 class LookupWaiter(Waiter):
@@ -265,7 +269,7 @@
         self._request.finish()
 
 
-class _StateResource(Endpoint):
+class _StateResource(ProblemResource):
     def __init__(self, callers: Callers, key: str):
         super().__init__()
         self._callers = callers
@@ -276,8 +280,8 @@
         member = self._callers.authenticate(request)
         waiter = LookupWaiter(request, check_key(self._key))
         request.notifyFinish().addErrback(waiter.on_disconnected)
-        self._callers.core.look_up(member, self._key, waiter)
-        self._callers.kick()
+        self._callers.core.look_up_key(member, self._key, waiter)
+        self._callers.schedule_actions()
         return server.NOT_DONE_YET
 
 
@@ -295,11 +299,11 @@
         and key.isprintable()
     )
     if not is_valid:
-        raise ClayfieldError(Kind.BAD_KEY, f"The key is {key!r}.")
+        raise ClayfieldError(ErrorKind.BAD_KEY, f"The key is {key!r}.")
     return key
 
 
-def fill_in(
+def apply_job_defaults(
     submission: SubmissionBody, cfg: Configuration
 ) -> tuple[SubmissionBody, Problem | None]:
     """Returns a submission with its job's defaults, and why it is refused.
@@ -312,7 +316,8 @@
         job = cfg.jobs.get(submission.job)
         if job is None:
             return submission, Problem(
-                Kind.NOT_FOUND, f"Job {submission.job!r} is not configured."
+                ErrorKind.NOT_FOUND,
+                f"Job {submission.job!r} is not configured.",
             )
         submission = msgspec.structs.replace(
             submission,
@@ -330,5 +335,5 @@
         detail = (
             f"{len(submission.tasks)} tasks exceed tasks_per_job {max_tasks}."
         )
-        return submission, Problem(Kind.TOO_LARGE, detail)
+        return submission, Problem(ErrorKind.TOO_LARGE, detail)
     return submission, None
--- a/packages/daemon/src/clayfield/daemon/certificates.py
+++ b/packages/daemon/src/clayfield/daemon/certificates.py
@@ -3,7 +3,7 @@
 from OpenSSL import SSL
 from twisted.internet.ssl import ContextFactory
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.base.events import Event, emit
 
 
@@ -31,7 +31,7 @@
                 self._context = self._read()
             except (SSL.Error, OSError) as exc:
                 raise ClayfieldError(
-                    Kind.BAD_SETTINGS, f"{certificate}: {exc!r}."
+                    ErrorKind.BAD_SETTINGS, f"{certificate}: {exc!r}."
                 ) from exc
 
     @property
--- a/packages/daemon/src/clayfield/daemon/http.py
+++ b/packages/daemon/src/clayfield/daemon/http.py
@@ -7,7 +7,7 @@
 from twisted.internet import interfaces
 from twisted.web import http, resource, server
 
-from clayfield.base import ClayfieldError, Kind, Problem
+from clayfield.base import ClayfieldError, ErrorKind, Problem
 from clayfield.base.events import Event, emit
 from clayfield.dispatch import render_problem, retry_after_s
 
@@ -44,7 +44,7 @@
         if length is not None and length > limits.body_bytes():
             super().gotLength(0)
             self._refuse(
-                Kind.TOO_LARGE,
+                ErrorKind.TOO_LARGE,
                 f"The body exceeds body_bytes {limits.body_bytes()}.",
             )
             return
@@ -57,7 +57,7 @@
             return
         if self._received_bytes > self._limits.body_bytes():
             detail = f"The body exceeds body_bytes {self._limits.body_bytes()}."
-            self._refuse(Kind.TOO_LARGE, detail)
+            self._refuse(ErrorKind.TOO_LARGE, detail)
             return
         super().handleContentChunk(data)
 
@@ -82,10 +82,11 @@
 
     def _on_timeout(self) -> None:
         self._refuse(
-            Kind.TOO_SLOW, f"The limit is request_ms {self._limits.request_ms}."
+            ErrorKind.TOO_SLOW,
+            f"The limit is request_ms {self._limits.request_ms}.",
         )
 
-    def _refuse(self, kind: Kind, detail: str) -> None:
+    def _refuse(self, kind: ErrorKind, detail: str) -> None:
         """Sends an error before the request is complete, then closes.
 
         Further data is read and dropped for `LINGER_S`: closing a connection
@@ -154,7 +155,7 @@
         """Writes no access log; requests are covered by metrics and traces."""
 
 
-class Endpoint(resource.Resource):
+class ProblemResource(resource.Resource):
     """A resource that reports errors as problem documents (RFC 9457)."""
 
     isLeaf = True  # noqa: N815 - twisted's name
@@ -176,7 +177,7 @@
             return b""
 
 
-class Leaf(Endpoint):
+class GetResource(ProblemResource):
     """A resource whose GET returns the result of a function."""
 
     def __init__(self, get: Callable[[http.Request], bytes]):
@@ -214,9 +215,9 @@
     try:
         return decoder.decode(body)
     except msgspec.ValidationError as exc:
-        raise ClayfieldError(Kind.BAD_FIELD, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FIELD, f"{exc}.") from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_JSON, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_JSON, f"{exc}.") from exc
 
 
 def token_hash(request: http.Request) -> str:
--- a/packages/daemon/src/clayfield/daemon/main.py
+++ b/packages/daemon/src/clayfield/daemon/main.py
@@ -38,7 +38,7 @@
     from clayfield.base import events
     from clayfield.daemon.process import Process
 
-    events.set_up(cfg.log_level)
+    events.configure_logging(cfg.log_level)
     incarnation = time.time_ns()
     try:
         process = Process(cfg, incarnation)
--- a/packages/daemon/src/clayfield/daemon/metrics.py
+++ b/packages/daemon/src/clayfield/daemon/metrics.py
@@ -73,8 +73,8 @@
         """Records the response time of a finished submission."""
         labels = {"class": sub.priority}
         self._response.observe(labels, response_ms)
-        if outcome.status == HTTP_OK and sub.longest_ms:
-            self._slowdown.observe(labels, response_ms / sub.longest_ms)
+        if outcome.status == HTTP_OK and sub.longest_task_ms:
+            self._slowdown.observe(labels, response_ms / sub.longest_task_ms)
 
     def render(self) -> bytes:
         """Returns all metrics in the text format."""
@@ -84,7 +84,7 @@
 
     def _update(self) -> None:
         """Sets counters and gauges from the state of the box."""
-        entry = self._core.entry
+        entry = self._core.submissions
         for name, metric in self._totals.items():
             metric.set({}, getattr(entry.counters, name))
         for code, count in entry.counters.refused.items():
--- a/packages/daemon/src/clayfield/daemon/operators.py
+++ b/packages/daemon/src/clayfield/daemon/operators.py
@@ -3,14 +3,14 @@
 import msgspec
 from twisted.web import http, resource, server
 
-from clayfield.base import ClayfieldError, Kind, Problem
+from clayfield.base import ClayfieldError, ErrorKind, Problem
 from clayfield.base.events import Event, emit
-from clayfield.box import Applied, BoxCore
-from clayfield.config import parse, to_bytes
+from clayfield.box import ApplyFinished, BoxCore
+from clayfield.config import encode_config, parse
 from clayfield.daemon.http import (
     JSON_TYPE,
-    Endpoint,
-    Leaf,
+    GetResource,
+    ProblemResource,
     token_hash,
     write_json,
     write_problem,
@@ -99,7 +99,7 @@
     for box, address in identity.boxes.items():
         peer = core.peers.get(box)
         if box != identity.box:
-            heartbeat = peer.beat if peer else None
+            heartbeat = peer.heartbeat if peer else None
             peers.append(
                 PeerStatus(
                     box,
@@ -114,9 +114,9 @@
         identity.node,
         core.is_ready,
         core.cfg.version,
-        core.entry.open_count,
+        core.submissions.open_count,
         {
-            hall: f"{hall}.{registry.table.count}:"
+            hall: f"{hall}.{registry.table.start_count}:"
             for hall, registry in core.registries.items()
         },
         peers,
@@ -164,16 +164,16 @@
         for operator in self.core.cfg.operators.values():
             if token in operator.tokens:
                 return
-        raise ClayfieldError(Kind.UNAUTHENTICATED)
+        raise ClayfieldError(ErrorKind.UNAUTHENTICATED)
 
-    def on_applied(self, action: Applied) -> None:
+    def on_applied(self, action: ApplyFinished) -> None:
         """Responds to the request that submitted a configuration file."""
         request = self.pending_requests.pop(action.request, None)
         if request is None:
             return
         if action.code:
             emit(Event.CONFIG_REJECTED, error=action.detail)
-            problem = Problem(Kind.from_code(action.code), action.detail)
+            problem = Problem(ErrorKind.from_code(action.code), action.detail)
             body = write_problem(request, problem)
         else:
             body = write_json(request, ConfigAccepted(action.version))
@@ -181,7 +181,7 @@
         request.finish()
 
 
-class _ConfigResource(Endpoint):
+class _ConfigResource(ProblemResource):
     def __init__(self, operators: Operators):
         super().__init__()
         self._operators = operators
@@ -190,7 +190,7 @@
         """Returns the configuration in force."""
         self._operators.authenticate(request)
         request.setHeader(b"content-type", JSON_TYPE)
-        return to_bytes(self._operators.core.cfg)
+        return encode_config(self._operators.core.cfg)
 
     def render_PUT(self, request: http.Request) -> int:  # noqa: N802
         """Submits a configuration file; the response is sent once decided."""
@@ -199,7 +199,7 @@
         try:
             text = request.content.read().decode()
         except UnicodeDecodeError as exc:
-            raise ClayfieldError(Kind.BAD_CONFIG, f"{exc}.") from exc
+            raise ClayfieldError(ErrorKind.BAD_CONFIG, f"{exc}.") from exc
         request_id = operators.core.apply(parse(text))
         operators.pending_requests[request_id] = request
         request.notifyFinish().addErrback(
@@ -232,9 +232,9 @@
     versioned = resource.Resource()
     root.putChild(b"v1", versioned)
     versioned.putChild(b"config", _ConfigResource(operators))
-    versioned.putChild(b"status", Leaf(status))
+    versioned.putChild(b"status", GetResource(status))
     versioned.putChild(b"submissions", callers)
-    root.putChild(b"metrics", Leaf(scrape))
+    root.putChild(b"metrics", GetResource(scrape))
     add_health(root, core)
     return root
 
@@ -251,5 +251,5 @@
         request.setResponseCode(HTTP_UNAVAILABLE)
         return b"not ready\n"
 
-    root.putChild(b"healthz", Leaf(health))
-    root.putChild(b"readyz", Leaf(ready))
+    root.putChild(b"healthz", GetResource(health))
+    root.putChild(b"readyz", GetResource(ready))
--- a/packages/daemon/src/clayfield/daemon/peers.py
+++ b/packages/daemon/src/clayfield/daemon/peers.py
@@ -17,9 +17,9 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python import failure
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.base.events import Event, emit
-from clayfield.base.settings import address
+from clayfield.base.settings import parse_address
 from clayfield.box import Identity
 from clayfield.daemon.peertls import PeerFiles, get_peer_name
 from clayfield.state.membership import node_name
@@ -87,7 +87,7 @@
         self.greeting = greeting
         self._reactor = reactor
         self._peer = peer
-        host, port = address(address_text)
+        host, port = parse_address(address_text)
         endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
         )
@@ -226,13 +226,13 @@
         )
         if greeting.box not in self._peers.identity.boxes:
             raise ClayfieldError(
-                Kind.BAD_FRAME,
+                ErrorKind.BAD_FRAME,
                 f"box {greeting.box!r} is not listed in --boxes.",
             )
         certified_name = get_peer_name(self.transport)
         if certified_name not in (None, greeting.box):
             raise ClayfieldError(
-                Kind.BAD_FRAME,
+                ErrorKind.BAD_FRAME,
                 f"the certificate names {certified_name!r},"
                 f" not {greeting.box!r}.",
             )
@@ -296,7 +296,9 @@
             twisted.internet.error.CannotListenError: the port cannot be
                 opened.
         """
-        host, port = address(self.identity.boxes[self.identity.box].address)
+        host, port = parse_address(
+            self.identity.boxes[self.identity.box].address
+        )
         factory = protocol.Factory.forProtocol(lambda: _Receiver(self))
         if self._tls_files:
             self._port = self.reactor.listenSSL(
--- a/packages/daemon/src/clayfield/daemon/peertls.py
+++ b/packages/daemon/src/clayfield/daemon/peertls.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 
 
 class PeerFiles:
@@ -42,7 +42,7 @@
             )
         except (OSError, SSL.Error, ValueError) as exc:
             raise ClayfieldError(
-                Kind.BAD_SETTINGS, f"--peer-tls files: {exc!r}."
+                ErrorKind.BAD_SETTINGS, f"--peer-tls files: {exc!r}."
             ) from exc
 
     def for_server(self) -> ssl.CertificateOptions:
@@ -78,7 +78,7 @@
             name = _get_common_name(connection.get_peer_certificate())
             if name != self._peer:
                 detail = f"the certificate names {name!r}, not {self._peer!r}."
-                reason = ClayfieldError(Kind.BAD_FRAME, detail)
+                reason = ClayfieldError(ErrorKind.BAD_FRAME, detail)
                 connection.get_app_data().failVerification(Failure(reason))
 
 
--- a/packages/daemon/src/clayfield/daemon/process.py
+++ b/packages/daemon/src/clayfield/daemon/process.py
@@ -49,7 +49,7 @@
         self._cfg = cfg
         store = Store(cfg.data_folder) if cfg.data_folder else None
         identity = Identity(
-            cfg.box, incarnation, cfg.boxes, store.made if store else 0
+            cfg.box, incarnation, cfg.boxes, store.disk_id if store else 0
         )
         self._identity = identity
         self._certificates = Certificates(cfg.tls_key, cfg.tls_certificate)
@@ -92,7 +92,9 @@
             self._cfg.header_bytes,
         )
         submissions = callers.make_root(
-            callers.Callers(core, self._runtime.tracing, self._runtime.kick)
+            callers.Callers(
+                core, self._runtime.tracing, self._runtime.schedule_actions
+            )
         )
         callers_root = resource.Resource()
         versioned = resource.Resource()
--- a/packages/daemon/src/clayfield/daemon/runtime.py
+++ b/packages/daemon/src/clayfield/daemon/runtime.py
@@ -12,10 +12,10 @@
 from clayfield.base import ClayfieldError, MonotonicClock
 from clayfield.base.events import Event, emit
 from clayfield.box import (
-    Applied,
+    ApplyFinished,
     BoxCore,
+    ConfigActivated,
     Identity,
-    InForce,
     Persist,
     Send,
 )
@@ -24,17 +24,17 @@
 from clayfield.daemon.operators import Operators
 from clayfield.daemon.peers import Peers
 from clayfield.daemon.peertls import PeerFiles
-from clayfield.daemon.platform import PlatformPoll
 from clayfield.daemon.settings import DaemonSettings
 from clayfield.daemon.store import Store
 from clayfield.daemon.tracing import Tracing
+from clayfield.daemon.worker_list import WorkerListPoller
 from clayfield.daemon.workers import WorkerClient
 from clayfield.dispatch import (
-    Answer,
+    SendAnswer,
+    SendState,
     StartTask,
     Submission,
-    TaskEnd,
-    Tell,
+    TaskOutcome,
     WorkerInfo,
 )
 from clayfield.state.membership import box_of
@@ -75,7 +75,7 @@
         )
         self.metrics = Metrics(self.core)
         self.operators = Operators(self.core)
-        self.core.entry.counters.listener = self._on_finished
+        self.core.submissions.counters.listener = self._on_finished
         self._peers = Peers(
             reactor,
             cfg.cluster,
@@ -92,7 +92,7 @@
             max(1, MAX_CONNECTIONS_PER_WORKER // box_count),
             self._on_task_end,
         )
-        self._list_poller = PlatformPoll(
+        self._list_poller = WorkerListPoller(
             reactor,
             cfg.platform_list,
             cfg.platform_list_ms,
@@ -133,12 +133,12 @@
         Returns:
             Whether all open submissions ended in time.
         """
-        emit(Event.STOPPING, open_submissions=self.core.entry.open_count)
+        emit(Event.STOPPING, open_submissions=self.core.submissions.open_count)
         self.core.announce_stop()
-        self.kick()
+        self.schedule_actions()
         await self._sleep(self._cfg.balancer_lag_ms / MS_PER_S)
         self.core.begin_stop()
-        self.kick()
+        self.schedule_actions()
         remaining_ms = float(self._cfg.drain_ms)
         while not self.core.is_drained and remaining_ms > 0:
             await self._sleep(TICK_S)
@@ -150,7 +150,7 @@
 
     # Events passed to the state machine.
 
-    def kick(self) -> None:
+    def schedule_actions(self) -> None:
         """Schedules the pending actions for the reactor's next turn."""
         if not self._are_actions_scheduled:
             self._are_actions_scheduled = True
@@ -159,7 +159,7 @@
     def _tick(self) -> None:
         self._next_tick = self._reactor.callLater(TICK_S, self._tick)
         self.core.tick()
-        self.kick()
+        self.schedule_actions()
         self._ticks += 1
         if self._ticks % TICKS_PER_CHECK == 0:
             self._check_status()
@@ -167,18 +167,18 @@
     def _on_messages(self, node: str, messages: list[Message]) -> None:
         for message in messages:
             self.core.on_message(node, message)
-        self.kick()
+        self.schedule_actions()
 
     def _on_peer_closed(self, node: str) -> None:
         self.core.on_peer_closed(node)
-        self.kick()
+        self.schedule_actions()
 
     def _on_task_end(
-        self, grant: int, end: TaskEnd, answer: bytes, took_ms: float
+        self, grant: int, end: TaskOutcome, answer: bytes, took_ms: float
     ) -> None:
         self.tracing.on_task_end(grant, end)
         self.core.on_task_end(grant, end, answer, took_ms)
-        self.kick()
+        self.schedule_actions()
 
     def _on_workers(self, workers: list[WorkerInfo]) -> None:
         local_workers = [
@@ -186,7 +186,7 @@
         ]
         self._workers.set_workers(local_workers)
         self.core.on_workers(workers)
-        self.kick()
+        self.schedule_actions()
 
     def _on_finished(
         self, sub: Submission, outcome: Outcome, response_ms: float
@@ -203,17 +203,17 @@
                 case Send(box=box, message=message):
                     self._peers.send(box, message)
                 case StartTask():
-                    traceparent = self.tracing.on_start(action)
+                    traceparent = self.tracing.start_task(action)
                     self._workers.start(action, traceparent)
-                case Answer(waiter=waiter, outcome=outcome):
+                case SendAnswer(waiter=waiter, outcome=outcome):
                     waiter.send_answer(outcome)
-                case Tell(waiter=waiter, state=state):
+                case SendState(waiter=waiter, state=state):
                     waiter.send_state(state)
                 case Persist():
                     self._persist(action)
-                case InForce(version=version):
+                case ConfigActivated(version=version):
                     emit(Event.CONFIG_IN_FORCE, version=version)
-                case Applied():
+                case ApplyFinished():
                     self.operators.on_applied(action)
 
     def _persist(self, action: Persist) -> None:
@@ -228,7 +228,7 @@
         for message in action.messages:
             self._peers.send(box_of(message.to), message)
         self.core.on_persisted(action.last_index)
-        self.kick()
+        self.schedule_actions()
 
     def _on_store_failed(self, failure: object) -> None:
         """Leaves the records unconfirmed, so that this box stops voting."""
@@ -258,7 +258,7 @@
     def _apply_first_config(self) -> None:
         """Applies the file of --first-config if no version is in force."""
         control = self.core.control
-        if control is None or not control.leads:
+        if control is None or not control.is_leader:
             return
         self._has_tried_first_config = True
         if control.log.version:
--- a/packages/daemon/src/clayfield/daemon/settings.py
+++ b/packages/daemon/src/clayfield/daemon/settings.py
@@ -1,11 +1,11 @@
 """Settings of the daemon and the checks between them."""
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.base.settings import (
     Setting,
-    address,
-    whole_number,
-    yes_or_no,
+    int_in_range,
+    parse_address,
+    parse_yes_no,
 )
 from clayfield.box import PeerAddress
 
@@ -25,7 +25,7 @@
         address_text, _, role = endpoint.partition("/")
         if role not in ("", "control"):
             raise ValueError(f"{item!r}: role {role!r} is not 'control'")
-        address(address_text)
+        parse_address(address_text)
         if name in boxes:
             raise ValueError(f"box {name!r} is listed twice")
         boxes[name] = PeerAddress(hall, address_text, role == "control")
@@ -34,7 +34,7 @@
     return boxes
 
 
-MS = whole_number(1, 86_400_000)
+MS = int_in_range(1, 86_400_000)
 
 SETTINGS = (
     Setting("box", str, None, "name of this box"),
@@ -51,11 +51,14 @@
         "name of the cluster, the same on all boxes",
     ),
     Setting(
-        "callers", address, "127.0.0.1:7300", "address of the port for callers"
+        "callers",
+        parse_address,
+        "127.0.0.1:7300",
+        "address of the port for callers",
     ),
     Setting(
         "operators",
-        address,
+        parse_address,
         "127.0.0.1:7301",
         "address of the port for operators",
     ),
@@ -94,13 +97,13 @@
     ),
     Setting(
         "allow_plain",
-        yes_or_no,
+        parse_yes_no,
         "no",
         "allow ports without TLS on other than loopback addresses",
     ),
     Setting(
         "header_bytes",
-        whole_number(256, 1 << 20),
+        int_in_range(256, 1 << 20),
         "16384",
         "largest total of headers in a request, in bytes",
     ),
@@ -110,14 +113,14 @@
     Setting("drain_ms", MS, "60000", "time limit of a planned stop, in ms"),
     Setting(
         "balancer_lag_ms",
-        whole_number(0, 600_000),
+        int_in_range(0, 600_000),
         "2000",
         "time that a stopping box goes on accepting, in ms",
     ),
     Setting("trace_endpoint", str, "", "OTLP/HTTP URL to export spans to"),
     Setting(
         "trace_percent",
-        whole_number(0, 100),
+        int_in_range(0, 100),
         "1",
         "percentage of traced submissions among those without a parent",
     ),
@@ -148,7 +151,7 @@
         self.values = values
         problems = [*self._find_box_problems(), *self._find_tls_problems()]
         if problems:
-            raise ClayfieldError(Kind.BAD_SETTINGS, " ".join(problems))
+            raise ClayfieldError(ErrorKind.BAD_SETTINGS, " ".join(problems))
 
     def __getattr__(self, name: str) -> object:
         try:
@@ -191,7 +194,7 @@
         }
         own_box = self.boxes.get(self.box)
         if own_box:
-            hosts["--boxes"] = address(own_box.address)[0]
+            hosts["--boxes"] = parse_address(own_box.address)[0]
         for flag, host in hosts.items():
             is_tls = (
                 all(peer_files) if flag == "--boxes" else bool(self.tls_key)
--- a/packages/daemon/src/clayfield/daemon/store.py
+++ b/packages/daemon/src/clayfield/daemon/store.py
@@ -1,6 +1,6 @@
 """Durable storage of a replicated log: checksummed records in a data folder.
 
-The folder holds the file `made`, with the time when the folder was created,
+The folder holds the file `disk_id`, with the time when the folder was created,
 and one file of records, `log-N`. A snapshot starts a new file, so that the
 time to recover does not grow with the number of changes.
 
@@ -18,15 +18,15 @@
 import msgspec
 import xxhash
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.base.events import Event, emit
 from clayfield.state import (
     ANY_RECORD,
     Append,
-    Born,
     HardState,
+    LogCreated,
     Record,
-    Replayed,
+    RestoredState,
     Snapshot,
     replay,
 )
@@ -45,18 +45,18 @@
     """The records of a replicated log in a data folder.
 
     Attributes:
-        made: identifies the folder: the time of its creation, in ns since the
-            epoch, or the `identity` it was created with. A box whose folder
+        disk_id: identifies the folder: the time of its creation, in ns since
+            the epoch, or the `identity` it was created with. A box whose folder
             was replaced is recognized by it.
         state: state restored from the records when the folder was opened.
     """
 
-    def __init__(self, folder: str, identity: int | None = None):
+    def __init__(self, folder: str, disk_id: int | None = None):
         """Opens a data folder, or creates it.
 
         Args:
             folder: path of the folder.
-            identity: value of `made` for a new folder, None for the time.
+            disk_id: value of `disk_id` for a new folder, None for the time.
 
         Raises:
             ClayfieldError: of kind STORE_DAMAGED, when the content is invalid;
@@ -68,28 +68,28 @@
         self._path = self._folder
         try:
             self._folder.mkdir(FOLDER_MODE, parents=True, exist_ok=True)
-            self.made = self._read_identity(identity)
+            self.disk_id = self._read_identity(disk_id)
             records = self._open_log()
         except OSError as exc:
-            raise ClayfieldError(Kind.STORE_FAILED, f"{exc}.") from exc
+            raise ClayfieldError(ErrorKind.STORE_FAILED, f"{exc}.") from exc
         # Two copies: the caller changes `state`, while `write`, in another
         # thread, keeps the second equal to the records on disk.
         self.state = replay(records)
         self._written_state = replay(records)
 
-    def _read_identity(self, identity: int | None) -> int:
+    def _read_identity(self, disk_id: int | None) -> int:
         """Returns the identity of the folder; stores it in a new one."""
         path = self._folder / IDENTITY_FILE
         if path.exists():
             return int(path.read_text())
         if self._find_log_numbers():
             raise ClayfieldError(
-                Kind.STORE_DAMAGED,
+                ErrorKind.STORE_DAMAGED,
                 f"{path} is missing, but the folder has a log.",
             )
-        made = time.time_ns() if identity is None else identity
-        self._replace_file(path, str(made).encode())
-        return made
+        new_id = time.time_ns() if disk_id is None else disk_id
+        self._replace_file(path, str(new_id).encode())
+        return new_id
 
     def _find_log_numbers(self) -> list[int]:
         names = (p.name for p in self._folder.glob(LOG_PREFIX + "*"))
@@ -146,7 +146,9 @@
                 be on disk, and every later write fails, too.
         """
         if self._fd < 0:
-            raise ClayfieldError(Kind.STORE_FAILED, "An earlier write failed.")
+            raise ClayfieldError(
+                ErrorKind.STORE_FAILED, "An earlier write failed."
+            )
         try:
             if any(isinstance(record, Snapshot) for record in records):
                 self._start_new_log(records)
@@ -154,7 +156,7 @@
                 self._append(records)
         except OSError as exc:
             self.close()
-            raise ClayfieldError(Kind.STORE_FAILED, f"{exc}.") from exc
+            raise ClayfieldError(ErrorKind.STORE_FAILED, f"{exc}.") from exc
 
     def _append(self, records: list[Record]) -> None:
         self._apply_records(records)
@@ -168,13 +170,13 @@
         """Applies records to the state that a new file starts with."""
         for record in records:
             match record:
-                case Born(instance=instance):
-                    self._written_state = Replayed()
+                case LogCreated(instance=instance):
+                    self._written_state = RestoredState()
                     self._written_state.instance = instance
                 case HardState():
-                    self._written_state.hard = record
+                    self._written_state.hard_state = record
                 case Append(index=index, entry=entry):
-                    self._written_state.log.put(index, entry)
+                    self._written_state.log.truncate_and_append(index, entry)
                 case Snapshot():
                     self._written_state.log.compact(record)
 
@@ -196,8 +198,8 @@
         """Returns the records that a new file starts with."""
         log = self._written_state.log
         records: list[Record] = [
-            Born(self._written_state.instance),
-            self._written_state.hard,
+            LogCreated(self._written_state.instance),
+            self._written_state.hard_state,
         ]
         if log.snapshot:
             records.append(log.snapshot)
@@ -239,7 +241,7 @@
         if content is None:
             if _has_valid_record(data, offset + 1):
                 raise ClayfieldError(
-                    Kind.STORE_DAMAGED,
+                    ErrorKind.STORE_DAMAGED,
                     f"{path}: invalid record at byte {offset}.",
                 )
             break
@@ -253,7 +255,7 @@
         return _decoder.decode(content)
     except msgspec.DecodeError as exc:
         raise ClayfieldError(
-            Kind.STORE_DAMAGED, f"{path}: record at byte {offset}: {exc}."
+            ErrorKind.STORE_DAMAGED, f"{path}: record at byte {offset}: {exc}."
         ) from exc
 
 
--- a/packages/daemon/src/clayfield/daemon/tracing.py
+++ b/packages/daemon/src/clayfield/daemon/tracing.py
@@ -11,7 +11,7 @@
 from opentelemetry.sdk.trace import TracerProvider
 from opentelemetry.sdk.trace.export import BatchSpanProcessor, SpanExporter
 
-from clayfield.dispatch import StartTask, Submission, TaskEnd
+from clayfield.dispatch import StartTask, Submission, TaskOutcome
 from clayfield.wire.messages import Outcome
 
 NS_PER_MS = 1_000_000
@@ -55,7 +55,7 @@
             self._provider.add_span_processor(BatchSpanProcessor(exporter))
             self._tracer = self._provider.get_tracer("clayfield")
 
-    def begin(self, key: str, parent: str) -> str:
+    def start_submission(self, key: str, parent: str) -> str:
         """Starts the span of a submission, if it is sampled.
 
         Args:
@@ -80,7 +80,7 @@
             return parent.endswith(SAMPLED_SUFFIX)
         return self._rng.random() * 100 < self._percent
 
-    def on_start(self, action: StartTask) -> str:
+    def start_task(self, action: StartTask) -> str:
         """Starts the span of a task and returns its `traceparent`."""
         root = self._submission_spans.get(action.traceparent)
         if root is None:
@@ -97,7 +97,7 @@
         self._task_spans[action.grant] = span
         return _format_traceparent(span)
 
-    def on_task_end(self, grant: int, end: TaskEnd) -> None:
+    def on_task_end(self, grant: int, end: TaskOutcome) -> None:
         """Ends the span of a task."""
         span = self._task_spans.pop(grant, None)
         if span:
--- a/packages/daemon/src/clayfield/daemon/platform.py
+++ b/packages/daemon/src/clayfield/daemon/worker_list.py
@@ -69,7 +69,7 @@
     ]
 
 
-class PlatformPoll:
+class WorkerListPoller:
     """Reads the platform list at intervals.
 
     A list that is unchanged is not reported again; when one cannot be read,
--- a/packages/daemon/src/clayfield/daemon/workers.py
+++ b/packages/daemon/src/clayfield/daemon/workers.py
@@ -20,8 +20,8 @@
 
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
-from clayfield.base.settings import address
-from clayfield.dispatch import StartTask, TaskEnd, WorkerInfo
+from clayfield.base.settings import parse_address
+from clayfield.dispatch import StartTask, TaskOutcome, WorkerInfo
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
@@ -32,7 +32,7 @@
 STARTED_HEADER = b"clayfield-started"
 LEAVING_HEADER = b"clayfield-leaving"
 
-OnEnd = Callable[[int, TaskEnd, bytes, float], None]
+OnEnd = Callable[[int, TaskOutcome, bytes, float], None]
 
 
 class _StartRequest:
@@ -95,7 +95,7 @@
     def on_timeout(self) -> None:
         """Closes the connection; the task may have run."""
         self.transport.abortConnection()
-        self._finish(TaskEnd.LOST, b"timed out")
+        self._finish(TaskOutcome.LOST, b"timed out")
 
     # Callbacks of twisted.
 
@@ -113,13 +113,13 @@
                 error=str(exc),
             )
             self.transport.abortConnection()
-            self._finish(TaskEnd.LOST, b"malformed HTTP response")
+            self._finish(TaskOutcome.LOST, b"malformed HTTP response")
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
         """Ends the pending request, whose task may have run."""
         self.is_open = False
         self._pool.on_closed(self)
-        self._finish(TaskEnd.LOST, b"connection lost")
+        self._finish(TaskOutcome.LOST, b"connection lost")
 
     # Callbacks of httptools.
 
@@ -132,7 +132,7 @@
         self._body += body
         if len(self._body) > MAX_ANSWER_BYTES:
             self.transport.abortConnection()
-            self._finish(TaskEnd.FAILED, b"response body too large")
+            self._finish(TaskOutcome.FAILED, b"response body too large")
 
     def on_message_complete(self) -> None:
         """Ends the request; returns the connection to the pool if it can."""
@@ -148,17 +148,21 @@
             self.transport.loseConnection()
         self._finish(end, body)
 
-    def _classify(self, status: int, body: bytes) -> TaskEnd:
+    def _classify(self, status: int, body: bytes) -> TaskOutcome:
         """Returns the outcome of the task that a response reports."""
         if status == HTTP_OK:
-            return TaskEnd.ANSWERED if _is_valid_json(body) else TaskEnd.FAILED
+            return (
+                TaskOutcome.ANSWERED
+                if _is_valid_json(body)
+                else TaskOutcome.FAILED
+            )
         did_not_start = self._headers.get(STARTED_HEADER) == b"no"
         if status == HTTP_UNAVAILABLE and did_not_start:
             is_leaving = self._headers.get(LEAVING_HEADER) == b"true"
-            return TaskEnd.LEAVING if is_leaving else TaskEnd.REFUSED
-        return TaskEnd.FAILED
+            return TaskOutcome.LEAVING if is_leaving else TaskOutcome.REFUSED
+        return TaskOutcome.FAILED
 
-    def _finish(self, end: TaskEnd, body: bytes) -> None:
+    def _finish(self, end: TaskOutcome, body: bytes) -> None:
         """Reports the outcome of the pending request, if there is one."""
         request = self._request
         if request is None:
@@ -194,7 +198,7 @@
         self.name = info.name
         self.clock = clock
         self.max_connections = max_connections
-        host, port = address(info.address)
+        host, port = parse_address(info.address)
         self.address_text = info.address
         self._endpoint = TCP4ClientEndpoint(
             reactor, host, port, timeout=CONNECT_TIMEOUT_S
@@ -235,7 +239,7 @@
     ) -> None:
         self._connection_count -= 1
         reason.trap(error.ConnectError, error.ConnectionClosed, OSError)
-        request.on_end(request.grant, TaskEnd.UNREACHED, b"", 0.0)
+        request.on_end(request.grant, TaskOutcome.UNREACHED, b"", 0.0)
         if self._queued:
             self.start(self._queued.popleft())
 
@@ -321,7 +325,7 @@
         """Starts a task and calls `on_end` exactly once with its outcome."""
         pool = self._pools.get(action.worker)
         if pool is None:
-            self._on_end(action.grant, TaskEnd.UNREACHED, b"", 0.0)
+            self._on_end(action.grant, TaskOutcome.UNREACHED, b"", 0.0)
             return
         request = _StartRequest(
             action.grant,
--- a/packages/dispatch/src/clayfield/dispatch/__init__.py
+++ b/packages/dispatch/src/clayfield/dispatch/__init__.py
@@ -1,46 +1,47 @@
 """Decides which task runs on which worker, in what order, or is refused.
 
-The package does no I/O. `Entry` accepts a submission and requests slots,
-`Scheduler` grants them, and `Entry` starts the tasks and returns the complete
-answer. What is to be sent is returned as messages and actions.
+The package does no I/O. `SubmissionManager` accepts a submission and requests
+slots, `Scheduler` grants them, and `SubmissionManager` starts the tasks and
+returns the complete answer. What is to be sent is returned as messages and
+actions.
 """
 
 from clayfield.dispatch.actions import (
     Action,
-    Answer,
+    SendAnswer,
+    SendState,
+    SendToNode,
+    SendToRegistry,
+    SendToScheduler,
     StartTask,
-    Tell,
-    ToNode,
-    ToRegistry,
-    ToScheduler,
 )
-from clayfield.dispatch.entry import Entry
-from clayfield.dispatch.rendering import (
-    read_problem,
+from clayfield.dispatch.response_bodies import (
+    parse_problem,
     render_problem,
     retry_after_s,
 )
 from clayfield.dispatch.scheduler import Scheduler
 from clayfield.dispatch.submission import JobRequest, Phase, Submission
-from clayfield.dispatch.task_end import TaskEnd
+from clayfield.dispatch.submission_manager import SubmissionManager
+from clayfield.dispatch.task_outcome import TaskOutcome
 from clayfield.dispatch.workers import WorkerInfo
 
 __all__ = [
     "Action",
-    "Answer",
-    "Entry",
     "JobRequest",
     "Phase",
     "Scheduler",
+    "SendAnswer",
+    "SendState",
+    "SendToNode",
+    "SendToRegistry",
+    "SendToScheduler",
     "StartTask",
     "Submission",
-    "TaskEnd",
-    "Tell",
-    "ToNode",
-    "ToRegistry",
-    "ToScheduler",
+    "SubmissionManager",
+    "TaskOutcome",
     "WorkerInfo",
-    "read_problem",
+    "parse_problem",
     "render_problem",
     "retry_after_s",
 ]
--- a/packages/dispatch/src/clayfield/dispatch/actions.py
+++ b/packages/dispatch/src/clayfield/dispatch/actions.py
@@ -9,7 +9,7 @@
     __slots__ = ()
 
 
-class ToRegistry(Action):
+class SendToRegistry(Action):
     """Sends a claim command to the home hall of its key.
 
     Attributes:
@@ -22,7 +22,7 @@
         self.message = message
 
 
-class ToScheduler(Action):
+class SendToScheduler(Action):
     """Sends a message to this hall's scheduler.
 
     Attributes:
@@ -35,7 +35,7 @@
         self.message = message
 
 
-class ToNode(Action):
+class SendToNode(Action):
     """Sends a message to a node.
 
     Attributes:
@@ -100,7 +100,7 @@
         self.traceparent = traceparent
 
 
-class Answer(Action):
+class SendAnswer(Action):
     """Returns the final answer to a waiter.
 
     Attributes:
@@ -115,7 +115,7 @@
         self.outcome = outcome
 
 
-class Tell(Action):
+class SendState(Action):
     """Returns the state of a key without a final answer to a waiter.
 
     Attributes:
--- a/packages/dispatch/src/clayfield/dispatch/breaker.py
+++ b/packages/dispatch/src/clayfield/dispatch/breaker.py
@@ -5,7 +5,7 @@
 MAX_PAUSE_MS = 4000.0
 
 
-class Breaker:
+class CircuitBreaker:
     """Limits the usable slots of a worker after failures.
 
     While closed, it allows all slots. After failures it allows none during a
@@ -36,7 +36,7 @@
         """Whether all slots are allowed and no pause is in progress."""
         return self._allowed >= self.slots and not self._open_until_ms
 
-    def allowance(self, now_ms: float) -> int:
+    def allowed_slots(self, now_ms: float) -> int:
         """Returns the number of slots that may be held now."""
         if now_ms < self._open_until_ms:
             return 0
--- a/packages/dispatch/src/clayfield/dispatch/budget.py
+++ b/packages/dispatch/src/clayfield/dispatch/budget.py
@@ -16,11 +16,11 @@
         self.share = share
         self._tokens = MAX_TOKENS
 
-    def on_first(self) -> None:
+    def on_first_attempt(self) -> None:
         """Adds tokens for the first attempt of a task."""
         self._tokens = min(MAX_TOKENS, self._tokens + self.share)
 
-    def try_retry(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes a token for a retry; returns False if none is left."""
         if self._tokens < 1.0:
             return False
--- a/packages/dispatch/src/clayfield/dispatch/lookups.py
+++ b/packages/dispatch/src/clayfield/dispatch/lookups.py
@@ -1,15 +1,10 @@
 """Requests to home halls for the state of a key."""
 
-from clayfield.base import Kind, Problem, Ran
-from clayfield.dispatch.actions import Action, Answer, Tell
-from clayfield.dispatch.outstanding import Outstanding
-from clayfield.dispatch.rendering import render_problem
-from clayfield.wire.messages import (
-    CLAIM_LOST,
-    CLAIM_OWNED,
-    ClaimReply,
-    Lookup,
-)
+from clayfield.base import ErrorKind, Problem, Ran
+from clayfield.dispatch.actions import Action, SendAnswer, SendState
+from clayfield.dispatch.response_bodies import render_problem
+from clayfield.dispatch.retransmit import RetransmitTable
+from clayfield.wire.messages import CLAIM_LOST, CLAIM_OWNED, ClaimReply, Lookup
 
 RESEND_MS = 300.0
 TIMEOUT_MS = 3000.0
@@ -27,7 +22,7 @@
         self.waiter = waiter
 
 
-class Lookups:
+class PendingLookups:
     """The lookups of one box that have no reply yet.
 
     Lookups have negative numbers, which keeps them apart from submissions.
@@ -38,9 +33,11 @@
     def __init__(self, node: str):
         self._node = node
         self._last_number = 0
-        self._pending: Outstanding[int, _PendingLookup] = Outstanding(RESEND_MS)
+        self._pending: RetransmitTable[int, _PendingLookup] = RetransmitTable(
+            RESEND_MS
+        )
 
-    def ask(self, key: str, waiter: object, now_ms: float) -> Lookup:
+    def add(self, key: str, waiter: object, now_ms: float) -> Lookup:
         """Registers a lookup and returns the message to send.
 
         Args:
@@ -65,13 +62,13 @@
         if pending is None:
             return None
         if reply.outcome:
-            return Answer(pending.waiter, reply.outcome)
+            return SendAnswer(pending.waiter, reply.outcome)
         if reply.verdict == CLAIM_OWNED:
-            return Tell(pending.waiter, RUNNING)
-        problem = Problem(Kind.NOT_FOUND)
+            return SendState(pending.waiter, RUNNING)
+        problem = Problem(ErrorKind.NOT_FOUND)
         if reply.verdict == CLAIM_LOST:
-            problem = Problem(Kind.CLAIMS_LOST, "", Ran.MAYBE)
-        return Answer(pending.waiter, render_problem(problem))
+            problem = Problem(ErrorKind.CLAIMS_LOST, "", Ran.MAYBE)
+        return SendAnswer(pending.waiter, render_problem(problem))
 
     def due(self, now_ms: float) -> list[Lookup]:
         """Returns the lookups that are due to be sent again."""
@@ -79,8 +76,8 @@
 
     def expire(self, now_ms: float) -> list[Action]:
         """Removes lookups that timed out; returns the answers to callers."""
-        problem = Problem(Kind.NO_REGISTRY, "", Ran.MAYBE, RETRY_AFTER_MS)
+        problem = Problem(ErrorKind.NO_REGISTRY, "", Ran.MAYBE, RETRY_AFTER_MS)
         return [
-            Answer(pending.waiter, render_problem(problem))
+            SendAnswer(pending.waiter, render_problem(problem))
             for _, pending in self._pending.expire(now_ms, TIMEOUT_MS)
         ]
--- a/packages/dispatch/src/clayfield/dispatch/settlements.py
+++ b/packages/dispatch/src/clayfield/dispatch/pending_completions.py
@@ -1,12 +1,12 @@
 """Tracks ended claims until their registry confirms the end."""
 
-from clayfield.dispatch.outstanding import Outstanding
+from clayfield.dispatch.retransmit import RetransmitTable
 from clayfield.wire.messages import Complete, Outcome, Unclaim
 
 RESEND_MS = 300.0
 
 
-class Settlements:
+class PendingCompletions:
     """The claims that ended here and are not confirmed by their registry.
 
     An end is a `Complete` message with the outcome, or an `Unclaim` message
@@ -16,8 +16,8 @@
     __slots__ = ("_completed", "_pending")
 
     def __init__(self) -> None:
-        self._pending: Outstanding[tuple[str, int], Complete | Unclaim] = (
-            Outstanding(RESEND_MS)
+        self._pending: RetransmitTable[tuple[str, int], Complete | Unclaim] = (
+            RetransmitTable(RESEND_MS)
         )
         self._completed: dict[str, tuple[bytes, Outcome]] = {}
 
@@ -38,7 +38,7 @@
         if isinstance(message, Complete):
             self._completed.setdefault(message.key, (digest, message.outcome))
 
-    def on_settled(self, key: str, nonce: int) -> None:
+    def on_confirmed(self, key: str, nonce: int) -> None:
         """Removes an end that the registry confirmed."""
         if isinstance(self._pending.pop((key, nonce)), Complete):
             self._completed.pop(key, None)
--- a/packages/dispatch/src/clayfield/dispatch/queue.py
+++ b/packages/dispatch/src/clayfield/dispatch/request_queue.py
@@ -12,7 +12,7 @@
 MIN_ARRIVALS_TO_PRUNE = 64
 
 
-class Waiting:
+class QueuedRequest:
     """A queued request for slots.
 
     Attributes:
@@ -20,7 +20,7 @@
         pool: pool of the requested slots.
         request: the request as received.
         rank: rank of its priority class; 0 is served first.
-        missing: number of slots still to grant.
+        remaining_tasks: number of slots still to grant.
         granted: number of slots granted so far.
         task_ms: estimated duration of a task, in ms.
         arrived_ms: time of arrival at the box, on the scheduler's clock.
@@ -36,7 +36,7 @@
         "deadline_ms",
         "granted",
         "is_open",
-        "missing",
+        "remaining_tasks",
         "next_check_ms",
         "node",
         "pool",
@@ -59,7 +59,7 @@
         self.pool = pool
         self.request = request
         self.rank = rank
-        self.missing = request.tasks
+        self.remaining_tasks = request.tasks
         self.granted = 0
         self.task_ms = task_ms
         self.arrived_ms = now_ms - request.waited_ms
@@ -72,20 +72,20 @@
         self.is_open = True
 
     @property
-    def work_ms(self) -> float:
+    def remaining_work_ms(self) -> float:
         """Expected slot time of the missing slots, in ms."""
-        return self.missing * self.task_ms
+        return self.remaining_tasks * self.task_ms
 
-    def order(self) -> float:
+    def sort_key(self) -> float:
         """Returns the sort key within the class; the least is served first."""
-        return self.work_ms + AGEING * self.arrived_ms
+        return self.remaining_work_ms + AGEING * self.arrived_ms
 
 
-class Queue:
+class RequestQueue:
     """A priority queue of requests for slots.
 
     Attributes:
-        work_ms: expected slot time of the queued tasks by rank, in ms.
+        work_ms_by_rank: expected slot time of the queued tasks by rank, in ms.
         tasks_by_member: number of queued tasks by member.
     """
 
@@ -94,14 +94,14 @@
         "_heaps",
         "_push_count",
         "tasks_by_member",
-        "work_ms",
+        "work_ms_by_rank",
     )
 
     def __init__(self) -> None:
-        self._heaps: dict[int, list[tuple[float, int, Waiting]]] = {}
-        self._arrivals: dict[int, list[Waiting]] = {}
+        self._heaps: dict[int, list[tuple[float, int, QueuedRequest]]] = {}
+        self._arrivals: dict[int, list[QueuedRequest]] = {}
         self._push_count = 0
-        self.work_ms: dict[int, float] = {}
+        self.work_ms_by_rank: dict[int, float] = {}
         self.tasks_by_member: dict[str, int] = {}
 
     def ranks(self) -> list[int]:
@@ -111,16 +111,18 @@
     def total_ms(self, up_to_rank: int) -> float:
         """Returns the expected slot time up to and including a rank, in ms."""
         return sum(
-            work for rank, work in self.work_ms.items() if rank <= up_to_rank
+            work
+            for rank, work in self.work_ms_by_rank.items()
+            if rank <= up_to_rank
         )
 
-    def add(self, queued: Waiting) -> None:
+    def add(self, queued: QueuedRequest) -> None:
         """Adds a new request."""
-        self._add_to_totals(queued, queued.missing)
+        self._add_to_totals(queued, queued.remaining_tasks)
         self._append_arrival(queued)
-        self.push_back(queued)
+        self.requeue(queued)
 
-    def _append_arrival(self, queued: Waiting) -> None:
+    def _append_arrival(self, queued: QueuedRequest) -> None:
         arrivals = self._arrivals.setdefault(queued.rank, [])
         if len(arrivals) > MIN_ARRIVALS_TO_PRUNE + 2 * len(
             self._heaps.get(queued.rank, ())
@@ -128,13 +130,13 @@
             arrivals[:] = [other for other in arrivals if other.is_open]
         arrivals.append(queued)
 
-    def push_back(self, queued: Waiting) -> None:
+    def requeue(self, queued: QueuedRequest) -> None:
         """Returns a request to the queue that `pop` removed."""
         self._push_count += 1
         heap = self._heaps.setdefault(queued.rank, [])
-        heapq.heappush(heap, (queued.order(), self._push_count, queued))
+        heapq.heappush(heap, (queued.sort_key(), self._push_count, queued))
 
-    def pop(self, rank: int) -> Waiting | None:
+    def pop(self, rank: int) -> QueuedRequest | None:
         """Removes and returns a rank's next open request, or None."""
         heap = self._heaps.get(rank)
         while heap:
@@ -144,23 +146,23 @@
         # Nothing is queued: forget the arrivals, and clear the rounding error
         # of the work.
         self._arrivals.pop(rank, None)
-        self.work_ms[rank] = 0.0
+        self.work_ms_by_rank[rank] = 0.0
         return None
 
-    def on_granted(self, queued: Waiting, count: int) -> None:
+    def on_granted(self, queued: QueuedRequest, count: int) -> None:
         """Records slots granted to a request."""
         self._add_to_totals(queued, -count)
-        queued.missing -= count
+        queued.remaining_tasks -= count
         queued.granted += count
-        queued.is_open = queued.missing > 0
+        queued.is_open = queued.remaining_tasks > 0
 
-    def close(self, queued: Waiting) -> None:
+    def close(self, queued: QueuedRequest) -> None:
         """Closes a request that is refused or cancelled."""
         if queued.is_open:
-            self._add_to_totals(queued, -queued.missing)
+            self._add_to_totals(queued, -queued.remaining_tasks)
             queued.is_open = False
 
-    def next_to_shed(self, rank: int) -> Waiting | None:
+    def next_to_shed(self, rank: int) -> QueuedRequest | None:
         """Returns the request of a rank to refuse next.
 
         That is the newest request without a granted slot, so that the
@@ -175,20 +177,22 @@
             arrivals.pop()
         return None
 
-    def work_ahead_ms(self, queued: Waiting) -> float:
+    def work_ahead_ms(self, queued: QueuedRequest) -> float:
         """Returns the expected slot time queued ahead of a request, in ms."""
-        own_order = queued.order()
+        own_order = queued.sort_key()
         same_rank = sum(
-            other.work_ms
+            other.remaining_work_ms
             for order, _, other in self._heaps.get(queued.rank, ())
             if order <= own_order and other.is_open and other is not queued
         )
         return self.total_ms(queued.rank - 1) + same_rank
 
-    def _add_to_totals(self, queued: Waiting, tasks: int) -> None:
+    def _add_to_totals(self, queued: QueuedRequest, tasks: int) -> None:
         """Adds tasks to the totals, or subtracts them if negative."""
         work_ms = tasks * queued.task_ms
-        self.work_ms[queued.rank] = self.work_ms.get(queued.rank, 0.0) + work_ms
+        self.work_ms_by_rank[queued.rank] = (
+            self.work_ms_by_rank.get(queued.rank, 0.0) + work_ms
+        )
         member = queued.request.member
         self.tasks_by_member[member] = (
             self.tasks_by_member.get(member, 0) + tasks
--- a/packages/dispatch/src/clayfield/dispatch/rendering.py
+++ b/packages/dispatch/src/clayfield/dispatch/response_bodies.py
@@ -76,7 +76,7 @@
     return Outcome(kind.status, _encoder.encode(body))
 
 
-def read_problem(body: bytes) -> ProblemBody:
+def parse_problem(body: bytes) -> ProblemBody:
     """Decodes a body that `render_problem` encoded."""
     return _problem_decoder.decode(body)
 
@@ -93,4 +93,4 @@
     """
     if outcome.status == 200:
         return True
-    return read_problem(outcome.body).ran != Ran.NO
+    return parse_problem(outcome.body).ran != Ran.NO
--- a/packages/dispatch/src/clayfield/dispatch/outstanding.py
+++ b/packages/dispatch/src/clayfield/dispatch/retransmit.py
@@ -18,7 +18,7 @@
         self.last_sent_ms = now_ms
 
 
-class Outstanding(Generic[Key, Item]):
+class RetransmitTable(Generic[Key, Item]):
     """Messages that were sent and have no reply yet, by key."""
 
     __slots__ = ("_resend_ms", "_sent")
--- a/packages/dispatch/src/clayfield/dispatch/scheduler.py
+++ b/packages/dispatch/src/clayfield/dispatch/scheduler.py
@@ -11,11 +11,11 @@
 yet are refused, those of the lowest-priced class first.
 """
 
-from clayfield.base import Clock, Kind
+from clayfield.base import Clock, ErrorKind
 from clayfield.config import Configuration, Service
-from clayfield.dispatch.estimate import Estimates
 from clayfield.dispatch.headroom import Headroom
-from clayfield.dispatch.queue import Queue, Waiting
+from clayfield.dispatch.request_queue import QueuedRequest, RequestQueue
+from clayfield.dispatch.task_times import TaskTimeEstimates
 from clayfield.dispatch.workers import FreeSlots, Worker, WorkerInfo
 from clayfield.wire.messages import (
     RELEASE_DONE,
@@ -43,7 +43,7 @@
 LOWEST_CLASS_REDUCTION = 0.5
 
 
-class Grant:
+class GrantedSlot:
     """A slot that a box holds.
 
     Attributes:
@@ -108,7 +108,7 @@
 
     def __init__(self) -> None:
         self.free = FreeSlots()
-        self.queue = Queue()
+        self.queue = RequestQueue()
         self.headroom = Headroom()
         self.top_class_held = 0
         self.held = 0
@@ -139,20 +139,21 @@
         self._hall = hall
         self._next_grant = first_grant
         self._cfg = cfg
-        self._ranks = cfg.ranks()
+        self._ranks = cfg.class_ranks()
         self._workers: dict[str, Worker] = {}
         self._pools: dict[str, _Pool] = {}
-        self._grants: dict[int, Grant] = {}
-        self._queued: dict[tuple[str, int], Waiting] = {}
+        self._grants: dict[int, GrantedSlot] = {}
+        self._queued: dict[tuple[str, int], QueuedRequest] = {}
         self._held_by_member: dict[str, int] = {}
-        self._estimates = Estimates()
+        self._estimates = TaskTimeEstimates()
         self._changed_pools: dict[str, None] = {}
 
     @property
     def queued_work_ms(self) -> float:
         """Expected slot time of all queued tasks, in ms."""
         return sum(
-            sum(pool.queue.work_ms.values()) for pool in self._pools.values()
+            sum(pool.queue.work_ms_by_rank.values())
+            for pool in self._pools.values()
         )
 
     @property
@@ -163,13 +164,13 @@
     def set_config(self, cfg: Configuration) -> None:
         """Activates a configuration and sorts all queued requests by it."""
         self._cfg = cfg
-        self._ranks = cfg.ranks()
+        self._ranks = cfg.class_ranks()
         for pool in self._pools.values():
-            pool.queue = Queue()
+            pool.queue = RequestQueue()
         for queued in list(self._queued.values()):
             self._reclassify(queued)
 
-    def _reclassify(self, queued: Waiting) -> None:
+    def _reclassify(self, queued: QueuedRequest) -> None:
         """Queues a request under its current class and pool.
 
         The request is refused if its service or class is not declared any
@@ -182,7 +183,7 @@
             self._refuse(
                 queued.node,
                 queued.request,
-                Kind.NOT_FOUND,
+                ErrorKind.NOT_FOUND,
                 "The service or the priority class was removed.",
                 0,
             )
@@ -243,7 +244,7 @@
             self._refuse(
                 node,
                 request,
-                Kind.NOT_FOUND,
+                ErrorKind.NOT_FOUND,
                 "The service or the priority class is not declared.",
                 0,
             )
@@ -265,15 +266,15 @@
 
     def _make_queued(
         self, node: str, request: SlotRequest, service: Service, rank: int
-    ) -> Waiting:
+    ) -> QueuedRequest:
         task_ms = self._estimates.mean_ms(request.service, service.expected_ms)
-        return Waiting(
+        return QueuedRequest(
             node, service.pool, request, rank, task_ms, self._clock.now_ms()
         )
 
     def _find_refusal(
-        self, queued: Waiting, service: Service, pool: _Pool
-    ) -> tuple[Kind, str, int] | None:
+        self, queued: QueuedRequest, service: Service, pool: _Pool
+    ) -> tuple[ErrorKind, str, int] | None:
         """Returns why a request cannot be queued, or None if it can.
 
         Returns:
@@ -281,22 +282,22 @@
         """
         if not self._has_worker(service):
             return (
-                Kind.NO_WORKER,
+                ErrorKind.NO_WORKER,
                 f"Pool {service.pool!r} has no suitable worker.",
                 1000,
             )
         member = self._cfg.members.get(queued.request.member)
         limit = member.queued_tasks if member else 0
         queued_tasks = pool.queue.tasks_by_member.get(queued.request.member, 0)
-        is_over = limit and queued_tasks + queued.missing > limit
+        is_over = limit and queued_tasks + queued.remaining_tasks > limit
         if is_over and not self._is_top_class(queued.request):
             detail = f"{queued_tasks} tasks are queued; the limit is {limit}."
-            return Kind.QUOTA, detail, self._drain_ms(pool, queued.rank)
+            return ErrorKind.QUOTA, detail, self._drain_ms(pool, queued.rank)
         wait_ms = self._drain_ms(pool, queued.rank - 1)
         end_ms = self._clock.now_ms() + wait_ms + queued.task_ms
         if end_ms > queued.deadline_ms:
             return (
-                Kind.DEADLINE,
+                ErrorKind.DEADLINE,
                 f"The expected wait for a slot is {wait_ms} ms.",
                 wait_ms,
             )
@@ -338,7 +339,7 @@
                 self._refuse_queued(
                     victim,
                     pool,
-                    Kind.QUEUE_FULL,
+                    ErrorKind.QUEUE_FULL,
                     "The queued work exceeds limits.queue_ms.",
                 )
 
@@ -350,7 +351,7 @@
         return self._cfg.limits.queue_ms * max(1, pool.capacity) * share
 
     def _refuse_queued(
-        self, queued: Waiting, pool: _Pool, kind: Kind, detail: str
+        self, queued: QueuedRequest, pool: _Pool, kind: ErrorKind, detail: str
     ) -> None:
         retry_ms = self._drain_ms(pool, queued.rank)
         pool.queue.close(queued)
@@ -361,7 +362,7 @@
         self,
         node: str,
         request: SlotRequest,
-        kind: Kind,
+        kind: ErrorKind,
         detail: str,
         retry_ms: int,
     ) -> None:
@@ -393,7 +394,7 @@
         self._remove_grant(grant)
 
     def _record_result(
-        self, worker: Worker, grant: Grant, release: SlotRelease
+        self, worker: Worker, grant: GrantedSlot, release: SlotRelease
     ) -> None:
         now_ms = self._clock.now_ms()
         match release.result:
@@ -407,14 +408,14 @@
                         release.took_ms,
                     )
             case r if r == RELEASE_LEAVING:
-                worker.on_said_leaving(now_ms)
+                worker.on_leaving_reported(now_ms)
                 self._update_capacity()
             case r if r == RELEASE_REFUSED:
                 worker.breaker.on_failure(now_ms, opens_at_once=False)
             case r if r == RELEASE_LOST:
                 worker.breaker.on_failure(now_ms, opens_at_once=True)
 
-    def _remove_grant(self, grant: Grant) -> None:
+    def _remove_grant(self, grant: GrantedSlot) -> None:
         del self._grants[grant.number]
         member = grant.request.member
         self._held_by_member[member] -= 1
@@ -426,7 +427,7 @@
             worker.held -= 1
             self._update_free_slots(worker)
 
-    def nodes(self) -> set[str]:
+    def active_nodes(self) -> set[str]:
         """Returns the nodes of the boxes that hold or wait for slots."""
         holders = {grant.node for grant in self._grants.values()}
         return holders | {node for node, _ in self._queued}
@@ -438,7 +439,7 @@
         for key in [k for k in self._queued if k[0] == node]:
             self.on_cancel(node, SlotCancel(key[1]))
 
-    def on_sync(self, node: str, sync: SlotSync) -> None:
+    def on_slot_sync(self, node: str, sync: SlotSync) -> None:
         """Aligns grants and queued requests with a box's report."""
         now_ms = self._clock.now_ms()
         held = {slot.grant for slot in sync.held}
@@ -463,7 +464,7 @@
         """Records a grant that an earlier scheduler made."""
         service = self._cfg.services.get(request.service)
         self._add_grant(
-            Grant(
+            GrantedSlot(
                 number,
                 node,
                 worker,
@@ -474,7 +475,7 @@
             )
         )
 
-    def _add_grant(self, grant: Grant) -> None:
+    def _add_grant(self, grant: GrantedSlot) -> None:
         self._grants[grant.number] = grant
         member = grant.request.member
         self._held_by_member[member] = self._held_by_member.get(member, 0) + 1
@@ -495,7 +496,7 @@
         """
         now_ms = self._clock.now_ms()
         for worker in self._workers.values():
-            if worker.is_changing(now_ms):
+            if worker.may_change(now_ms):
                 self._update_free_slots(worker)
         for queued in list(self._queued.values()):
             pool = self._pool(queued.pool)
@@ -504,24 +505,24 @@
                 self._refuse_queued(
                     queued,
                     pool,
-                    Kind.DEADLINE,
+                    ErrorKind.DEADLINE,
                     "No slot became free in time.",
                 )
             elif now_ms >= queued.next_check_ms:
                 queued.next_check_ms = now_ms + WORKER_CHECK_MS
                 self._refuse_if_no_worker(queued, pool)
 
-    def _refuse_if_no_worker(self, queued: Waiting, pool: _Pool) -> None:
+    def _refuse_if_no_worker(self, queued: QueuedRequest, pool: _Pool) -> None:
         service = self._cfg.services[queued.request.service]
         if not self._has_worker(service):
             self._refuse_queued(
                 queued,
                 pool,
-                Kind.NO_WORKER,
+                ErrorKind.NO_WORKER,
                 f"Pool {queued.pool!r} has no suitable worker.",
             )
 
-    def assign(self) -> None:
+    def grant_slots(self) -> None:
         """Grants the free slots of changed pools and sheds excess requests."""
         while self._changed_pools:
             pool = self._pool(self._changed_pools.popitem()[0])
@@ -531,7 +532,7 @@
     def _assign_pool(self, pool: _Pool) -> None:
         """Grants a pool's free slots to its queued requests in order."""
         for rank in pool.queue.ranks():
-            incomplete: list[Waiting] = []
+            incomplete: list[QueuedRequest] = []
             while self._has_slot(pool, rank):
                 queued = pool.queue.pop(rank)
                 if queued is None:
@@ -540,7 +541,7 @@
                 if queued.is_open:
                     incomplete.append(queued)
             for queued in incomplete:
-                pool.queue.push_back(queued)
+                pool.queue.requeue(queued)
 
     def _has_slot(self, pool: _Pool, rank: int) -> bool:
         if rank == 0:
@@ -557,12 +558,12 @@
         max_reserved = int((pool.free.total + pool.held) * MAX_RESERVED_SHARE)
         return max(0, min(target - pool.top_class_held, max_reserved))
 
-    def _grant(self, pool: _Pool, queued: Waiting) -> None:
+    def _grant(self, pool: _Pool, queued: QueuedRequest) -> None:
         """Grants a request as many slots as its order and quota allow."""
         service = self._cfg.services[queued.request.service]
         requirements = _requirements(service)
         granted: list[tuple[int, str]] = []
-        while queued.missing and self._has_slot(pool, queued.rank):
+        while queued.remaining_tasks and self._has_slot(pool, queued.rank):
             if self._is_over_quota(queued):
                 break
             avoid_racks = queued.racks if service.spread_racks else None
@@ -577,13 +578,13 @@
             self._queued.pop((queued.node, queued.request.request), None)
 
     def _grant_slot(
-        self, pool: _Pool, queued: Waiting, worker: Worker
+        self, pool: _Pool, queued: QueuedRequest, worker: Worker
     ) -> tuple[int, str]:
         """Grants one slot of a worker; returns grant number and worker."""
         number = self._next_grant
         self._next_grant += 1
         self._add_grant(
-            Grant(
+            GrantedSlot(
                 number,
                 queued.node,
                 worker.info.name,
@@ -597,7 +598,7 @@
         pool.queue.on_granted(queued, 1)
         return number, worker.info.name
 
-    def _is_over_quota(self, queued: Waiting) -> bool:
+    def _is_over_quota(self, queued: QueuedRequest) -> bool:
         member = self._cfg.members.get(queued.request.member)
         if member is None or not member.slots:
             return False
--- a/packages/dispatch/src/clayfield/dispatch/submission.py
+++ b/packages/dispatch/src/clayfield/dispatch/submission.py
@@ -30,18 +30,19 @@
         tasks: payloads of the tasks, in task order.
         is_repeatable: whether the caller allows a task to run more than once.
         deadline_ms: time allowed for the job, in ms; 0 for no limit.
-        is_first: whether the caller states that it never sent this key
+        is_first_attempt: whether the caller states that it never sent this key
             before; a refusal can then report that nothing ran without a reply
             of the registry.
         traceparent: W3C `traceparent` of the caller's trace; "" for none.
-        refusal: why the job cannot run now, or None. Unless `is_first`, it is
-            returned only once the registry confirms that the key did not run.
+        refusal: why the job cannot run now, or None. Unless `is_first_attempt`,
+            it is returned only once the registry confirms that the key did not
+            run.
     """
 
     __slots__ = (
         "body",
         "deadline_ms",
-        "is_first",
+        "is_first_attempt",
         "is_repeatable",
         "key",
         "member",
@@ -62,7 +63,7 @@
         tasks: list[bytes],
         is_repeatable: bool = False,
         deadline_ms: float = 0.0,
-        is_first: bool = False,
+        is_first_attempt: bool = False,
         traceparent: str = "",
         refusal: Problem | None = None,
     ):
@@ -74,7 +75,7 @@
         self.tasks = tasks
         self.is_repeatable = is_repeatable
         self.deadline_ms = deadline_ms
-        self.is_first = is_first
+        self.is_first_attempt = is_first_attempt
         self.traceparent = traceparent
         self.refusal = refusal
 
@@ -91,7 +92,7 @@
         service: name of the service of all its tasks.
         priority: name of its priority class.
         is_repeatable: whether the caller allows a task to run more than once.
-        is_first: whether the caller states that it never sent this key
+        is_first_attempt: whether the caller states that it never sent this key
             before.
         refusal: a refusal withheld until the registry replies to the claim;
             None for none.
@@ -106,7 +107,7 @@
         claim_sent_ms: time of the last claim or fetch sent, in ms.
         claimed_ms: time when the claim was granted, in ms.
         granted_ms: time when the first slot was granted, in ms; 0 before.
-        longest_ms: duration of the longest task so far, in ms.
+        longest_task_ms: duration of the longest task so far, in ms.
         owner_heard_ms: time of the last reply of the owner that it follows,
             in ms.
         unused_grants: (grant, worker) pairs held for tasks not yet started.
@@ -131,10 +132,10 @@
         "granted_ms",
         "has_slot_request",
         "is_claimed",
-        "is_first",
+        "is_first_attempt",
         "is_repeatable",
         "key",
-        "longest_ms",
+        "longest_task_ms",
         "may_be_claimed",
         "member",
         "number",
@@ -182,7 +183,7 @@
         )
         self.tasks = req.tasks
         self.phase = Phase.OPEN
-        self.is_first = req.is_first
+        self.is_first_attempt = req.is_first_attempt
         self.refusal: Problem | None = None
         self.is_claimed = False
         self.may_be_claimed = True
@@ -192,7 +193,7 @@
         self.owner_heard_ms = now_ms
         self.claimed_ms = now_ms
         self.granted_ms = 0.0
-        self.longest_ms = 0.0
+        self.longest_task_ms = 0.0
         self.unused_grants: list[tuple[int, str]] = []
         self.unstarted_tasks = list(range(len(req.tasks) - 1, -1, -1))
         self.running: dict[int, int] = {}
--- a/packages/dispatch/src/clayfield/dispatch/entry.py
+++ b/packages/dispatch/src/clayfield/dispatch/submission_manager.py
@@ -10,37 +10,37 @@
 
 import hashlib
 
-from clayfield.base import Clock, Kind, Problem, Ran
+from clayfield.base import Clock, ErrorKind, Problem, Ran
 from clayfield.config import Configuration, Service
 from clayfield.dispatch.actions import (
     Action,
-    Answer,
+    SendAnswer,
+    SendState,
+    SendToNode,
+    SendToRegistry,
+    SendToScheduler,
     StartTask,
-    Tell,
-    ToNode,
-    ToRegistry,
-    ToScheduler,
 )
 from clayfield.dispatch.budget import RetryBudget
 from clayfield.dispatch.counters import Counters
-from clayfield.dispatch.lookups import RUNNING, Lookups
-from clayfield.dispatch.rendering import (
+from clayfield.dispatch.lookups import RUNNING, PendingLookups
+from clayfield.dispatch.pending_completions import PendingCompletions
+from clayfield.dispatch.remote_waiter import RemoteWaiter
+from clayfield.dispatch.response_bodies import (
     is_final,
     render_answers,
     render_problem,
 )
-from clayfield.dispatch.settlements import Settlements
 from clayfield.dispatch.submission import JobRequest, Phase, Submission
-from clayfield.dispatch.task_end import TaskEnd
-from clayfield.dispatch.waiters import RemoteWaiter
+from clayfield.dispatch.task_outcome import TaskOutcome
 from clayfield.dispatch.workers import WorkerInfo
 from clayfield.wire.messages import (
+    CLAIM_CLOSED,
     CLAIM_DONE,
     CLAIM_GRANTED,
     CLAIM_LOST,
     CLAIM_OWNED,
     CLAIM_REUSED,
-    CLAIM_SETTLED,
     CLAIM_UNAVAILABLE,
     RELEASE_UNUSED,
     AnswerFetch,
@@ -71,7 +71,7 @@
 
 
 # Errors by which the registry confirms that this request did not run.
-NOT_RUN_KINDS = (Kind.KEY_REUSED,)
+NOT_RUN_KINDS = (ErrorKind.KEY_REUSED,)
 
 
 class _HeldGrant:
@@ -85,7 +85,7 @@
         self.since_ms = since_ms
 
 
-class Entry:
+class SubmissionManager:
     """The submissions of one box.
 
     Attributes:
@@ -113,8 +113,8 @@
         self._held: dict[int, _HeldGrant] = {}
         self._next_number = 1
         self._leaving_workers: set[str] = set()
-        self._pending_completions = Settlements()
-        self._lookups = Lookups(node)
+        self._pending_completions = PendingCompletions()
+        self._lookups = PendingLookups(node)
         self._budget = RetryBudget(cfg.limits.retry_share)
 
     @property
@@ -170,9 +170,11 @@
             self._answer_completed(completed, digest, waiter)
             return None
         if self.is_stopping:
-            ran = Ran.NO if req.is_first else Ran.MAYBE
-            problem = Problem(Kind.STOPPING, "", ran, STOPPING_RETRY_AFTER_MS)
-            self.actions.append(Answer(waiter, render_problem(problem)))
+            ran = Ran.NO if req.is_first_attempt else Ran.MAYBE
+            problem = Problem(
+                ErrorKind.STOPPING, "", ran, STOPPING_RETRY_AFTER_MS
+            )
+            self.actions.append(SendAnswer(waiter, render_problem(problem)))
             return None
         return self._open_submission(key, digest, req, waiter)
 
@@ -190,7 +192,7 @@
         self._send_claim(sub)
         if req.refusal is None:
             self._send_request(sub)
-        elif req.is_first:
+        elif req.is_first_attempt:
             self._refuse(sub, req.refusal)
         else:
             sub.refusal = req.refusal
@@ -201,8 +203,8 @@
     ) -> None:
         self.counters.resubmitted += 1
         if sub.digest != digest:
-            problem = Problem(Kind.KEY_REUSED)
-            self.actions.append(Answer(waiter, render_problem(problem)))
+            problem = Problem(ErrorKind.KEY_REUSED)
+            self.actions.append(SendAnswer(waiter, render_problem(problem)))
         else:
             sub.waiters.append(waiter)
 
@@ -212,10 +214,10 @@
         self.counters.resubmitted += 1
         completed_digest, outcome = completed
         if completed_digest != digest:
-            outcome = render_problem(Problem(Kind.KEY_REUSED))
-        self.actions.append(Answer(waiter, outcome))
+            outcome = render_problem(Problem(ErrorKind.KEY_REUSED))
+        self.actions.append(SendAnswer(waiter, outcome))
 
-    def holder_of(self, grant: int) -> Submission | None:
+    def submission_for_grant(self, grant: int) -> Submission | None:
         """Returns the submission of a held slot, or None.
 
         The submission may already be done.
@@ -226,7 +228,7 @@
         held = self._held.get(grant)
         return held.submission if held else None
 
-    def look_up(self, key: str, waiter: object) -> None:
+    def look_up_key(self, key: str, waiter: object) -> None:
         """Requests the state or the answer of a key for a caller.
 
         Args:
@@ -235,14 +237,14 @@
         """
         completed = self._pending_completions.outcome_of(key)
         if completed:
-            self.actions.append(Answer(waiter, completed[1]))
+            self.actions.append(SendAnswer(waiter, completed[1]))
         elif key in self._by_key:
-            self.actions.append(Tell(waiter, RUNNING))
+            self.actions.append(SendState(waiter, RUNNING))
         else:
-            lookup = self._lookups.ask(key, waiter, self._clock.now_ms())
-            self.actions.append(ToRegistry(lookup))
+            lookup = self._lookups.add(key, waiter, self._clock.now_ms())
+            self.actions.append(SendToRegistry(lookup))
 
-    def drop_waiter(self, key: str, waiter: object) -> None:
+    def remove_waiter(self, key: str, waiter: object) -> None:
         """Removes a disconnected caller; its submission continues."""
         sub = self._by_key.get(key)
         if sub and waiter in sub.waiters:
@@ -252,7 +254,7 @@
         sub.claim_sent_ms = self._clock.now_ms()
         sub.may_be_claimed = True
         claim = Claim(sub.key, sub.digest, self._node, sub.number)
-        self.actions.append(ToRegistry(claim))
+        self.actions.append(SendToRegistry(claim))
 
     def resend_claims(self) -> None:
         """Sends unanswered claims again; a new leader may not have them."""
@@ -262,8 +264,8 @@
 
     def on_claim_reply(self, reply: ClaimReply) -> None:
         """Handles the registry's reply to a claim, claim end or lookup."""
-        if reply.verdict == CLAIM_SETTLED:
-            self._pending_completions.on_settled(reply.key, reply.nonce)
+        if reply.verdict == CLAIM_CLOSED:
+            self._pending_completions.on_confirmed(reply.key, reply.nonce)
             return
         action = self._lookups.on_reply(reply)
         if action:
@@ -283,16 +285,19 @@
             case v if v == CLAIM_OWNED:
                 self._release_claim(reply.key, reply.owner_nonce)
             case v if v == CLAIM_REUSED:
-                self._fail(sub, Problem(Kind.KEY_REUSED))
+                self._fail(sub, Problem(ErrorKind.KEY_REUSED))
             case v if v == CLAIM_DONE:
                 self._release_unused(sub)
                 self._finish(sub, reply.outcome)
             case v if v == CLAIM_LOST:
                 detail = "The home hall lost its earlier claims."
-                self._fail(sub, Problem(Kind.CLAIMS_LOST, detail, Ran.MAYBE))
+                self._fail(
+                    sub, Problem(ErrorKind.CLAIMS_LOST, detail, Ran.MAYBE)
+                )
             case v if v == CLAIM_UNAVAILABLE:
                 self._fail(
-                    sub, Problem(Kind.NO_REGISTRY, "", Ran.NO, RETRY_AFTER_MS)
+                    sub,
+                    Problem(ErrorKind.NO_REGISTRY, "", Ran.NO, RETRY_AFTER_MS),
                 )
 
     def _on_claimed(self, sub: Submission) -> None:
@@ -329,7 +334,7 @@
             sub.owner_heard_ms = now_ms
         sub.claim_sent_ms = now_ms
         fetch = AnswerFetch(sub.key, reply.owner_nonce)
-        self.actions.append(ToNode(reply.owner, fetch))
+        self.actions.append(SendToNode(reply.owner, fetch))
 
     def on_answer_fetch(self, node: str, fetch: AnswerFetch) -> None:
         """Handles another box's request for the answer of a claim.
@@ -346,7 +351,7 @@
             completed = self._pending_completions.outcome_of(fetch.key)
             reply = AnswerReply(fetch.key, completed[1] if completed else None)
             self._release_claim(fetch.key, fetch.nonce)
-        self.actions.append(ToNode(node, reply))
+        self.actions.append(SendToNode(node, reply))
 
     def on_answer_reply(self, reply: AnswerReply) -> None:
         """Handles the owner's reply for a submission that it runs."""
@@ -360,7 +365,7 @@
 
     def _send_request(self, sub: Submission) -> None:
         sub.has_slot_request = True
-        self.actions.append(ToScheduler(self._make_slot_request(sub)))
+        self.actions.append(SendToScheduler(self._make_slot_request(sub)))
 
     def _make_slot_request(self, sub: Submission) -> SlotRequest:
         now_ms = self._clock.now_ms()
@@ -409,10 +414,10 @@
         sub = self._by_number.get(refuse.request)
         if sub is None or sub.phase is not Phase.OPEN or not sub.missing_slots:
             return
-        kind = Kind.from_code(refuse.code)
+        kind = ErrorKind.from_code(refuse.code)
         problem = Problem(kind, refuse.detail, Ran.NO, refuse.retry_after_ms)
         sub.has_slot_request = False
-        if sub.is_claimed or sub.is_first:
+        if sub.is_claimed or sub.is_first_attempt:
             self._refuse(sub, problem)
         else:
             # Another box may run this key; whether it did is known only from
@@ -447,7 +452,7 @@
         sub.start_count += 1
         self.counters.starts += 1
         if sub.attempts[task] == 1:
-            self._budget.on_first()
+            self._budget.on_first_attempt()
         service = self._cfg.services.get(sub.service, Service())
         remaining_ms = sub.deadline_ms - self._clock.now_ms()
         self.actions.append(
@@ -465,7 +470,7 @@
         )
 
     def on_task_end(
-        self, grant: int, end: TaskEnd, answer: bytes, took_ms: float
+        self, grant: int, end: TaskOutcome, answer: bytes, took_ms: float
     ) -> None:
         """Handles the outcome of one attempt to run a task.
 
@@ -482,24 +487,26 @@
         sub = held.submission
         task = sub.running.pop(grant)
         self._release(grant, held.worker, end.release_result, took_ms)
-        if end is not TaskEnd.ANSWERED:
+        if end is not TaskOutcome.ANSWERED:
             self.counters.wasted += 1
         if sub.phase is Phase.DONE:
-            self.counters.wasted += end is TaskEnd.ANSWERED
+            self.counters.wasted += end is TaskOutcome.ANSWERED
             return
-        if end is TaskEnd.ANSWERED:
+        if end is TaskOutcome.ANSWERED:
             sub.answers[task] = answer
-            sub.longest_ms = max(sub.longest_ms, took_ms)
+            sub.longest_task_ms = max(sub.longest_task_ms, took_ms)
             self.counters.answered += 1
             if sub.is_complete:
                 self._finish(sub, render_answers(sub.answers))
-        elif end is TaskEnd.FAILED:
+        elif end is TaskOutcome.FAILED:
             detail = f"Task {task}: {answer.decode(errors='replace')[:200]}"
-            self._fail(sub, Problem(Kind.TASK_FAILED, detail, Ran.YES))
+            self._fail(sub, Problem(ErrorKind.TASK_FAILED, detail, Ran.YES))
         else:
             self._retry_or_fail(sub, task, end)
 
-    def _retry_or_fail(self, sub: Submission, task: int, end: TaskEnd) -> None:
+    def _retry_or_fail(
+        self, sub: Submission, task: int, end: TaskOutcome
+    ) -> None:
         if not end.may_have_started:
             sub.start_count -= 1
         if self._may_retry(sub, task, end):
@@ -510,12 +517,14 @@
             return
         detail = f"The last attempt at task {task} ended as {end.text}."
         if end.may_have_started:
-            problem = Problem(Kind.TASK_LOST, detail)
+            problem = Problem(ErrorKind.TASK_LOST, detail)
         else:
-            problem = Problem(Kind.NO_WORKER, detail, Ran.NO, RETRY_AFTER_MS)
+            problem = Problem(
+                ErrorKind.NO_WORKER, detail, Ran.NO, RETRY_AFTER_MS
+            )
         self._fail(sub, problem)
 
-    def _may_retry(self, sub: Submission, task: int, end: TaskEnd) -> bool:
+    def _may_retry(self, sub: Submission, task: int, end: TaskOutcome) -> bool:
         """Returns whether a task may be started again; spends retry budget."""
         if sub.attempts[task] >= MAX_ATTEMPTS:
             return False
@@ -525,19 +534,19 @@
             service = self._cfg.services.get(sub.service)
             if not (service and service.retry_lost and sub.is_repeatable):
                 return False
-        return self._budget.try_retry()
+        return self._budget.try_acquire()
 
     def _cancel_request(self, sub: Submission) -> None:
         if sub.has_slot_request:
             sub.has_slot_request = False
-            self.actions.append(ToScheduler(SlotCancel(sub.number)))
+            self.actions.append(SendToScheduler(SlotCancel(sub.number)))
 
     def _release(
         self, number: int, worker: str, result: int, took_ms: float
     ) -> None:
         self._held.pop(number, None)
         self.actions.append(
-            ToScheduler(SlotRelease(number, worker, result, took_ms))
+            SendToScheduler(SlotRelease(number, worker, result, took_ms))
         )
 
     def _release_unused(self, sub: Submission) -> None:
@@ -547,7 +556,7 @@
             self._release(number, worker, RELEASE_UNUSED, 0.0)
         sub.unused_grants.clear()
 
-    def sync_message(self) -> SlotSync:
+    def make_sync(self) -> SlotSync:
         """Returns a report of held slots and open requests.
 
         A new scheduler rebuilds its state from it.
@@ -571,7 +580,7 @@
         The problem's `ran` is raised to "maybe" unless it is certain that no
         task was started, here or by another box.
         """
-        is_unknown = not (sub.is_claimed or sub.is_first)
+        is_unknown = not (sub.is_claimed or sub.is_first_attempt)
         if problem.kind in NOT_RUN_KINDS:
             is_unknown = False
         if problem.ran is Ran.NO and (sub.start_count or is_unknown):
@@ -591,9 +600,9 @@
         for waiter in sub.waiters:
             if isinstance(waiter, RemoteWaiter):
                 reply = AnswerReply(waiter.key, outcome)
-                self.actions.append(ToNode(waiter.node, reply))
+                self.actions.append(SendToNode(waiter.node, reply))
             else:
-                self.actions.append(Answer(waiter, outcome))
+                self.actions.append(SendAnswer(waiter, outcome))
 
     def _end_claim(self, sub: Submission, outcome: Outcome) -> None:
         """Completes or gives up the claim of a submission that is done."""
@@ -608,7 +617,7 @@
     ) -> None:
         """Sends a claim's end; it is repeated until confirmed."""
         self._pending_completions.add(message, digest, self._clock.now_ms())
-        self.actions.append(ToRegistry(message))
+        self.actions.append(SendToRegistry(message))
 
     def tick(self) -> None:
         """Runs the periodic work: sends messages again, ends overdue jobs."""
@@ -624,16 +633,16 @@
 
     def _resend_unconfirmed(self, now_ms: float) -> None:
         for message in self._pending_completions.due(now_ms):
-            self.actions.append(ToRegistry(message))
+            self.actions.append(SendToRegistry(message))
         for lookup in self._lookups.due(now_ms):
-            self.actions.append(ToRegistry(lookup))
+            self.actions.append(SendToRegistry(lookup))
         self.actions += self._lookups.expire(now_ms)
 
     def _tick_following(self, sub: Submission, now_ms: float) -> None:
         if now_ms - sub.owner_heard_ms >= FOLLOW_TIMEOUT_MS:
             detail = "The owner does not respond; its claim stays recorded."
             problem = Problem(
-                Kind.OWNER_LOST, detail, Ran.MAYBE, RETRY_AFTER_MS
+                ErrorKind.OWNER_LOST, detail, Ran.MAYBE, RETRY_AFTER_MS
             )
             self._fail(sub, problem)
         elif now_ms - sub.claim_sent_ms >= FOLLOW_POLL_MS:
@@ -642,7 +651,7 @@
     def _tick_unclaimed(self, sub: Submission, now_ms: float) -> None:
         if now_ms - sub.arrived_ms >= CLAIM_TIMEOUT_MS:
             problem = Problem(
-                Kind.NO_REGISTRY,
+                ErrorKind.NO_REGISTRY,
                 "The home hall did not reply to the claim in time.",
                 Ran.NO,
                 RETRY_AFTER_MS,
@@ -654,4 +663,6 @@
     def _expire(self, sub: Submission) -> None:
         is_following = sub.phase is Phase.FOLLOWING
         ran = Ran.MAYBE if is_following or sub.start_count else Ran.NO
-        self._fail(sub, Problem(Kind.DEADLINE, "The deadline has passed.", ran))
+        self._fail(
+            sub, Problem(ErrorKind.DEADLINE, "The deadline has passed.", ran)
+        )
--- a/packages/dispatch/src/clayfield/dispatch/task_end.py
+++ b/packages/dispatch/src/clayfield/dispatch/task_outcome.py
@@ -10,7 +10,7 @@
 )
 
 
-class TaskEnd(enum.Enum):
+class TaskOutcome(enum.Enum):
     """The outcome of an attempt, as far as the box can determine it.
 
     Attributes:
--- a/packages/dispatch/src/clayfield/dispatch/estimate.py
+++ b/packages/dispatch/src/clayfield/dispatch/task_times.py
@@ -3,7 +3,7 @@
 SMOOTHING = 0.02
 
 
-class Estimates:
+class TaskTimeEstimates:
     """Exponential moving averages of task duration by service."""
 
     __slots__ = ("_mean_ms",)
--- a/packages/dispatch/src/clayfield/dispatch/workers.py
+++ b/packages/dispatch/src/clayfield/dispatch/workers.py
@@ -1,6 +1,6 @@
 """The workers of a pool, their free slots and their health."""
 
-from clayfield.dispatch.breaker import Breaker
+from clayfield.dispatch.breaker import CircuitBreaker
 
 # How long a worker that reported itself as leaving gets no tasks although the
 # worker list does not show it as leaving.
@@ -75,10 +75,10 @@
     def __init__(self, info: WorkerInfo):
         self.info = info
         self.held = 0
-        self.breaker = Breaker(info.slots)
+        self.breaker = CircuitBreaker(info.slots)
         self._leaving_until_ms = 0.0
 
-    def on_said_leaving(self, now_ms: float) -> None:
+    def on_leaving_reported(self, now_ms: float) -> None:
         """Records that the worker refused a task because it is leaving."""
         self._leaving_until_ms = now_ms + LEAVING_REPORT_MS
 
@@ -86,7 +86,7 @@
         """Returns whether it leaves, by the list or by its own report."""
         return self.info.is_leaving or now_ms < self._leaving_until_ms
 
-    def is_changing(self, now_ms: float) -> bool:
+    def may_change(self, now_ms: float) -> bool:
         """Returns whether its free slots may have changed with time.
 
         Clears a report of leaving that has expired.
@@ -100,7 +100,7 @@
         """Returns the number of tasks that it can take now."""
         if self.is_leaving(now_ms):
             return 0
-        return max(0, self.breaker.allowance(now_ms) - self.held)
+        return max(0, self.breaker.allowed_slots(now_ms) - self.held)
 
     def satisfies(self, cores: int, memory_mb: int, accelerators: int) -> bool:
         """Returns whether it has at least these resources."""
