--- a/packages/node/src/clayfield/node/control_process.py
+++ b/packages/node/src/clayfield/node/control_process.py
@@ -13,28 +13,28 @@
 from clayfield.base import MonotonicClock
 from clayfield.base.events import Event, emit
 from clayfield.cluster import (
+    Broadcast,
     ControlNode,
     Persist,
-    Publish,
     Send,
-    Settled,
     VoterPolicy,
+    WriteFinished,
     WriteOutcome,
-    first_records,
+    make_initial_records,
 )
 from clayfield.daemon.store import Store
-from clayfield.node.faces import (
+from clayfield.node.httpserver import HttpLimits, HttpRequest, HttpServer
+from clayfield.node.interfaces import (
+    HeartbeatCall,
     HttpReply,
     LeaveCall,
     OperatorProtocol,
     ReadCall,
-    StatementCall,
     WriteCall,
 )
-from clayfield.node.httpserver import HttpBounds, HttpRequest, HttpServer
 from clayfield.node.metrics import ControlMetrics, MetricsServer
 from clayfield.node.process import NodeProcess
-from clayfield.node.settings import NodeSettings, place_text
+from clayfield.node.settings import NodeSettings, format_address
 from clayfield.node.streams import StreamListener, Streams
 from clayfield.state.membership import node_name
 from clayfield.wire.cluster import NodeGreeting
@@ -75,7 +75,7 @@
         self._reload_settings = reload_settings
         self._clock = MonotonicClock()
         self._store = self._open_store()
-        node = node_name(place_text(cfg.peers), self._store.made)
+        node = node_name(format_address(cfg.peers), self._store.disk_id)
         self._control = ControlNode(
             node,
             self._clock,
@@ -102,15 +102,15 @@
 
     def _open_store(self) -> Store:
         """Opens the store; on first start writes the initial voters to it."""
-        own_address = place_text(self._cfg.peers)
-        seeds = [place_text(seed) for seed in self._cfg.seeds]
+        own_address = format_address(self._cfg.peers)
+        seeds = [format_address(seed) for seed in self._cfg.seeds]
         is_first = self._cfg.is_first_start and own_address in seeds
         store = Store(
-            self._cfg.data_folder, identity=FIRST_STORE_ID if is_first else None
+            self._cfg.data_folder, disk_id=FIRST_STORE_ID if is_first else None
         )
         if is_first and not store.state.instance:
             voters = tuple(node_name(seed, FIRST_STORE_ID) for seed in seeds)
-            store.write(first_records(voters))
+            store.write(make_initial_records(voters))
             store.close()
             store = Store(self._cfg.data_folder)
         return store
@@ -120,8 +120,8 @@
         self._streams.start()
         self._server.listen(self._cfg.operators)
         self._metrics_server.start(self._cfg)
-        seeds = tuple(place_text(seed) for seed in self._cfg.seeds)
-        self._control.learn_addresses(seeds)
+        seeds = tuple(format_address(seed) for seed in self._cfg.seeds)
+        self._control.add_addresses(seeds)
 
     def tick(self) -> None:
         """Runs the periodic work: the log's timers, connections, timeouts."""
@@ -131,7 +131,7 @@
         self._ticks += 1
         if self._ticks % TICKS_PER_CHECK == 0:
             self._server.check_timeouts()
-        is_leading = self._control.is_sure
+        is_leading = self._control.is_state_current
         if is_leading != self._was_leading:
             self._was_leading = is_leading
             event = Event.LEADING if is_leading else Event.LEADING_ENDED
@@ -141,8 +141,8 @@
         """Reads the settings again and connects to new seeds."""
         cfg = self._reload_settings()
         emit(Event.RELOADED, node=self._cfg.name)
-        self._control.learn_addresses(
-            tuple(place_text(seed) for seed in cfg.seeds)
+        self._control.add_addresses(
+            tuple(format_address(seed) for seed in cfg.seeds)
         )
 
     def begin_stop(self) -> None:
@@ -151,8 +151,8 @@
             return
         self._is_stopping = True
         self._server.begin_close()
-        self._control.consensus.transfer()
-        self.kick()
+        self._control.consensus.transfer_leadership()
+        self.schedule_actions()
         self.call_later(STOP_DELAY_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
@@ -171,25 +171,25 @@
                 self._on_write(request, call)
             case ReadCall():
                 self._on_read(request)
-            case StatementCall(info=info):
+            case HeartbeatCall(info=info):
                 self._on_heartbeat(request, info)
             case LeaveCall(name=name):
-                self._control.on_worker_left(name)
+                self._control.on_worker_removed(name)
                 _reply(request, HttpReply(200))
-        self.kick()
+        self.schedule_actions()
 
     def _on_heartbeat(self, request: HttpRequest, info: object) -> None:
-        if not self._control.has_entries:
+        if not self._control.has_entry_nodes:
             _reply(request, HttpReply(503))
             return
-        self._control.on_worker(info)
+        self._control.on_worker_heartbeat(info)
         _reply(request, HttpReply(200))
 
     def _on_write(self, request: HttpRequest, call: WriteCall) -> None:
         """Starts a write of the configuration, or redirects to the leader."""
         self._last_request_id += 1
         request_id = self._last_request_id
-        is_accepted = self._control.write(
+        is_accepted = self._control.write_config(
             request_id, call.version, call.document
         )
         if is_accepted:
@@ -198,7 +198,7 @@
             self._redirect_to_leader(request)
 
     def _on_read(self, request: HttpRequest) -> None:
-        if not self._control.is_sure:
+        if not self._control.is_state_current:
             self._redirect_to_leader(request)
         elif self._control.state.version:
             _reply(request, HttpReply(200, self._control.state.document))
@@ -207,7 +207,7 @@
 
     def _redirect_to_leader(self, request: HttpRequest) -> None:
         leader = self._control.leader_address
-        if not leader or leader == place_text(self._cfg.peers):
+        if not leader or leader == format_address(self._cfg.peers):
             _reply(request, HttpReply(503))
             return
         host = leader.rpartition(":")[0]
@@ -215,7 +215,7 @@
         reply = self._operators.write_redirect(host, port, request.path)
         _reply(request, reply)
 
-    def _on_write_finished(self, result: Settled) -> None:
+    def _on_write_finished(self, result: WriteFinished) -> None:
         request = self._pending_requests.pop(result.request, None)
         if request is None:
             return
@@ -224,33 +224,33 @@
 
     # Streams to other nodes.
 
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles the opening of the first stream to a node."""
-        self._control.on_open(greeting)
-        self.kick()
+        self._control.on_connected(greeting)
+        self.schedule_actions()
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the loss of the last stream to a node."""
-        self._control.on_closed(node)
-        self.kick()
+        self._control.on_disconnected(node)
+        self.schedule_actions()
 
     def on_messages(self, node: str, messages: list[Message]) -> None:
         """Handles messages from a node."""
         for message in messages:
             self._control.on_message(node, message)
-        self.kick()
+        self.schedule_actions()
 
-    def carry_out(self) -> None:
+    def run_actions(self) -> None:
         """Runs the actions that the control node's logic has queued."""
         for action in self._control.take_actions():
             match action:
                 case Send(node=node, message=message):
                     self._streams.send(node, message)
-                case Publish(message=message):
+                case Broadcast(message=message):
                     self._streams.broadcast("entry", message)
                 case Persist():
                     self._persist(action)
-                case Settled():
+                case WriteFinished():
                     self._on_write_finished(action)
 
     def _persist(self, action: Persist) -> None:
@@ -282,7 +282,7 @@
         for action in batch:
             self._after_sync(action)
         self._store_next()
-        self.kick()
+        self.schedule_actions()
 
     def _after_sync(self, action: Persist) -> None:
         """Sends the messages of an action whose records are on disk."""
@@ -299,9 +299,9 @@
         self.fail(failure.getErrorMessage())
 
 
-def _make_limits() -> HttpBounds:
-    return HttpBounds(body_bytes=MAX_DOCUMENT_BYTES)
+def _make_limits() -> HttpLimits:
+    return HttpLimits(body_bytes=MAX_DOCUMENT_BYTES)
 
 
 def _reply(request: HttpRequest, reply: HttpReply) -> None:
-    request.answer(reply.status, reply.body, headers=reply.headers)
+    request.respond(reply.status, reply.body, headers=reply.headers)
--- a/packages/node/src/clayfield/node/entry_process.py
+++ b/packages/node/src/clayfield/node/entry_process.py
@@ -12,7 +12,8 @@
 
 from clayfield.base import MonotonicClock
 from clayfield.base.events import Event, emit
-from clayfield.node.faces import (
+from clayfield.node.httpserver import HttpLimits, HttpRequest, HttpServer
+from clayfield.node.interfaces import (
     CallerProtocol,
     CancelCall,
     CountCall,
@@ -22,25 +23,24 @@
     SubmitCall,
     WorkerProtocol,
 )
-from clayfield.node.httpserver import HttpBounds, HttpRequest, HttpServer
 from clayfield.node.metrics import EntryMetrics, MetricsServer
 from clayfield.node.process import NodeProcess
-from clayfield.node.settings import NodeSettings, place_text
+from clayfield.node.settings import NodeSettings, format_address
 from clayfield.node.streams import StreamListener, Streams
-from clayfield.node.workers import WorkerOrders
+from clayfield.node.workers import WorkerCommands
 from clayfield.pool import (
-    AnswerCaller,
-    AnswerCancel,
-    AnswerState,
-    AskAdvisor,
-    Dial,
-    Entry,
-    HoldWorker,
-    PaceRun,
+    ConnectNode,
+    EntryNode,
+    PollWorker,
     PoolTiming,
+    ReplyToCaller,
+    ReplyToCancel,
+    ReplyToStateRequest,
+    RequestAdvice,
+    SendToEntry,
     StartRun,
     StopRun,
-    TellEntry,
+    ThrottleRun,
 )
 from clayfield.state.membership import box_of, node_name
 from clayfield.wire.cluster import (
@@ -48,8 +48,8 @@
     ControlNodes,
     Grant,
     JobEnded,
+    JobStateReply,
     NodeGreeting,
-    StateTold,
 )
 from clayfield.wire.messages import Message
 
@@ -87,7 +87,7 @@
 class EntryProcess(NodeProcess, StreamListener):
     """The process of one entry node.
 
-    Decisions are made by `Entry`; this class connects it to the network.
+    Decisions are made by `EntryNode`; this class connects it to the network.
     """
 
     def __init__(
@@ -115,24 +115,24 @@
         self._reload_settings = reload_settings
         self._clock = MonotonicClock()
         incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
-        self._node = node_name(place_text(cfg.peers), incarnation)
+        self._node = node_name(format_address(cfg.peers), incarnation)
         timing = PoolTiming(cfg.lease_ms, cfg.stop_ms, cfg.keep_ended_ms)
-        self._entry = Entry(self._node, cfg.hall, self._clock, timing)
+        self._entry = EntryNode(self._node, cfg.hall, self._clock, timing)
         self._streams = Streams(
             reactor,
             NodeGreeting(cfg.cluster, self._node, ROLE, cfg.hall),
             self,
         )
-        self._commands = WorkerOrders(
+        self._commands = WorkerCommands(
             reactor,
             self._clock,
             workers,
             self._entry,
-            self.kick,
-            place_text(cfg.advisor) if cfg.advisor else "",
+            self.schedule_actions,
+            format_address(cfg.advisor) if cfg.advisor else "",
         )
         self._server = HttpServer(reactor, self._on_request, self._get_limits)
-        self._readiness = HttpServer(reactor, self._on_readiness, HttpBounds)
+        self._readiness = HttpServer(reactor, self._on_readiness, HttpLimits)
         self._pending: dict[int, _PendingRequest] = {}
         self._metrics = EntryMetrics(self._entry)
         self._metrics_server = MetricsServer(reactor, self._metrics)
@@ -149,7 +149,7 @@
         self._readiness.listen(self._cfg.readiness)
         self._metrics_server.start(self._cfg)
         for seed in self._cfg.seeds:
-            self._streams.connect(place_text(seed))
+            self._streams.connect(format_address(seed))
 
     def tick(self) -> None:
         """Runs the periodic work: timers, timeouts, log events, stopping."""
@@ -179,7 +179,7 @@
         cfg = self._reload_settings()
         emit(Event.RELOADED, node=self._cfg.name)
         for seed in cfg.seeds:
-            self._streams.connect(place_text(seed))
+            self._streams.connect(format_address(seed))
 
     def begin_stop(self) -> None:
         """Starts a planned stop: serves open jobs, then ends."""
@@ -189,7 +189,7 @@
         self._stop_started_ms = self._clock.now_ms()
         self._entry.begin_stop()
         self._server.begin_close()
-        self.kick()
+        self.schedule_actions()
 
     def _continue_stop(self) -> None:
         """Ends the process once it is drained or the grace period is over."""
@@ -197,10 +197,10 @@
         is_grace_over = elapsed_ms > self._cfg.grace_ms - GRACE_MARGIN_MS
         if not is_grace_over and elapsed_ms < MIN_DRAIN_MS:
             return
-        self._entry.is_refusing = True
+        self._entry.rejects_jobs = True
         if is_grace_over:
-            self._entry.give_up_all()
-            self.carry_out()
+            self._entry.fail_all()
+            self.run_actions()
         self._server.close_idle()
         is_drained = (
             not self._entry.open_jobs and self._entry.dispatcher is None
@@ -213,9 +213,9 @@
 
     # Callers.
 
-    def _get_limits(self) -> HttpBounds:
+    def _get_limits(self) -> HttpLimits:
         limits = self._entry.routes.limits
-        return HttpBounds(
+        return HttpLimits(
             limits.header_bytes,
             limits.body_bytes,
             limits.header_ms,
@@ -223,7 +223,7 @@
         )
 
     def _on_readiness(self, request: HttpRequest) -> None:
-        request.answer(200 if self._entry.is_ready else 503)
+        request.respond(200 if self._entry.is_ready else 503)
 
     def _on_request(self, request: HttpRequest) -> None:
         call = self._callers.read_call(request, self._entry.routes)
@@ -238,13 +238,13 @@
                     key, self._add_pending(request, key, "")
                 )
             case StateCall(key=key):
-                self._entry.callers.ask_state(
+                self._entry.callers.request_state(
                     key, self._add_pending(request, key, "")
                 )
             case CountCall(queue=queue):
-                waiting = self._entry.waiting_of(queue)
+                waiting = self._entry.pending_count(queue)
                 _reply(request, self._callers.write_count_reply(waiting))
-        self.kick()
+        self.schedule_actions()
 
     def _add_pending(self, request: HttpRequest, key: str, queue: str) -> int:
         """Registers a request that is answered later; returns its number."""
@@ -261,8 +261,8 @@
     def _on_caller_disconnected(self, request_id: int) -> None:
         pending = self._pending.pop(request_id, None)
         if pending:
-            self._entry.callers.leave(pending.key, request_id)
-            self.kick()
+            self._entry.callers.on_caller_disconnected(pending.key, request_id)
+            self.schedule_actions()
 
     def _reply_to_job(self, request_id: int, ended: JobEnded) -> None:
         pending = self._pending.pop(request_id, None)
@@ -283,33 +283,35 @@
         )
         _reply(pending.request, self._callers.write_job_reply(ended))
 
-    def _reply_to_cancel(self, request_id: int, is_known: bool | None) -> None:
+    def _reply_to_cancel(self, request_id: int, is_found: bool | None) -> None:
         pending = self._pending.pop(request_id, None)
         if pending:
-            _reply(pending.request, self._callers.write_cancel_reply(is_known))
+            _reply(pending.request, self._callers.write_cancel_reply(is_found))
 
-    def _reply_to_state(self, request_id: int, reply: StateTold | None) -> None:
+    def _reply_to_state(
+        self, request_id: int, reply: JobStateReply | None
+    ) -> None:
         pending = self._pending.pop(request_id, None)
         if pending:
             _reply(pending.request, self._callers.write_state_reply(reply))
 
     # Streams to other nodes.
 
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles the opening of the first stream to a node."""
-        self._entry.on_open(greeting)
-        self.kick()
+        self._entry.on_connected(greeting)
+        self.schedule_actions()
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the loss of the last stream to a node."""
-        self._entry.on_closed(node)
-        self.kick()
+        self._entry.on_disconnected(node)
+        self.schedule_actions()
 
     def on_messages(self, node: str, messages: list[Message]) -> None:
         """Handles messages from a node."""
         for message in messages:
             self._on_message(node, message)
-        self.kick()
+        self.schedule_actions()
 
     def _on_message(self, node: str, message: Message) -> None:
         match message:
@@ -332,31 +334,31 @@
         if self._entry.on_config(table):
             emit(Event.CONFIG_IN_FORCE, version=table.version)
 
-    def carry_out(self) -> None:
+    def run_actions(self) -> None:
         """Runs the actions that the entry node's logic has queued."""
         for action in self._entry.take_actions():
             match action:
-                case TellEntry(node=node, message=message):
+                case SendToEntry(node=node, message=message):
                     self._streams.send(node, message)
                 case StartRun():
                     self._commands.start(action)
-                case HoldWorker():
+                case PollWorker():
                     self._commands.poll(action)
                 case StopRun():
                     self._commands.stop(action)
-                case PaceRun():
+                case ThrottleRun():
                     self._commands.throttle(action)
-                case AskAdvisor():
+                case RequestAdvice():
                     self._commands.request_advice(action)
-                case AnswerCaller(waiter=waiter, ended=ended):
-                    self._reply_to_job(waiter, ended)
-                case AnswerCancel(waiter=waiter, is_known=is_known):
-                    self._reply_to_cancel(waiter, is_known)
-                case AnswerState(waiter=waiter, told=told):
-                    self._reply_to_state(waiter, told)
-                case Dial(node=node):
+                case ReplyToCaller(request_id=request_id, ended=ended):
+                    self._reply_to_job(request_id, ended)
+                case ReplyToCancel(request_id=request_id, is_found=is_found):
+                    self._reply_to_cancel(request_id, is_found)
+                case ReplyToStateRequest(request_id=request_id, reply=reply):
+                    self._reply_to_state(request_id, reply)
+                case ConnectNode(node=node):
                     self._streams.connect(box_of(node))
 
 
 def _reply(request: HttpRequest, reply: HttpReply) -> None:
-    request.answer(reply.status, reply.body, headers=reply.headers)
+    request.respond(reply.status, reply.body, headers=reply.headers)
--- a/packages/node/src/clayfield/node/httpclient.py
+++ b/packages/node/src/clayfield/node/httpclient.py
@@ -12,7 +12,7 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.python import failure
 
-from clayfield.base.settings import address as read_address
+from clayfield.base.settings import parse_address as read_address
 
 CONNECT_TIMEOUT_S = 0.5
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
--- a/packages/node/src/clayfield/node/httpserver.py
+++ b/packages/node/src/clayfield/node/httpserver.py
@@ -18,7 +18,7 @@
 MAX_PIPELINED = 64
 
 
-class HttpBounds:
+class HttpLimits:
     """The size and time limits of a request.
 
     Attributes:
@@ -53,14 +53,14 @@
         body: body, empty for none.
         on_disconnected: called if the connection is lost before the response,
             None for no call.
-        is_answered: whether a response was given or the connection was lost.
+        has_response: whether a response was given or the connection was lost.
     """
 
     __slots__ = (
         "_connection",
         "body",
         "headers",
-        "is_answered",
+        "has_response",
         "method",
         "on_disconnected",
         "path",
@@ -80,9 +80,9 @@
         self.headers = headers
         self.body = body
         self.on_disconnected: Callable[[], None] | None = None
-        self.is_answered = False
+        self.has_response = False
 
-    def answer(
+    def respond(
         self,
         status: int,
         body: bytes = b"",
@@ -97,9 +97,9 @@
             content_type: value of Content-Type, if there is a body.
             headers: further headers, pairs of name and value.
         """
-        if self.is_answered:
+        if self.has_response:
             return
-        self.is_answered = True
+        self.has_response = True
         self._connection.write_response(
             self, render_response(status, body, content_type, headers)
         )
@@ -165,8 +165,8 @@
         self._queue.clear()
         self._current = None
         for request in pending:
-            if not request.is_answered and request.on_disconnected:
-                request.is_answered = True
+            if not request.has_response and request.on_disconnected:
+                request.has_response = True
                 request.on_disconnected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -299,7 +299,7 @@
         self,
         reactor: interfaces.IReactorTCP,
         handle: Callable[[HttpRequest], None],
-        limits: Callable[[], HttpBounds],
+        limits: Callable[[], HttpLimits],
     ):
         self.reactor = reactor
         self.handle = handle
--- a/packages/node/src/clayfield/node/faces.py
+++ b/packages/node/src/clayfield/node/interfaces.py
@@ -11,16 +11,16 @@
 from clayfield.node.httpserver import HttpRequest
 from clayfield.pool import (
     Advice,
-    AskAdvisor,
-    HoldAnswer,
-    HoldWorker,
-    OrderAnswer,
-    PaceRun,
+    CommandReply,
+    PollReply,
+    PollWorker,
+    RequestAdvice,
     Routes,
     StartRun,
     StopRun,
+    ThrottleRun,
 )
-from clayfield.wire.cluster import JobEnded, StateTold
+from clayfield.wire.cluster import JobEnded, JobStateReply
 from clayfield.wire.jobs import Job, RoutingTable, WorkerInfo
 
 
@@ -101,15 +101,15 @@
         """Returns the response to the caller of a job."""
 
     @abc.abstractmethod
-    def write_cancel_reply(self, is_known: bool | None) -> HttpReply:
+    def write_cancel_reply(self, is_found: bool | None) -> HttpReply:
         """Returns the response to a cancel request.
 
         Args:
-            is_known: whether the job was found, None if no holder replied.
+            is_found: whether the job was found, None if no holder replied.
         """
 
     @abc.abstractmethod
-    def write_state_reply(self, reply: StateTold | None) -> HttpReply:
+    def write_state_reply(self, reply: JobStateReply | None) -> HttpReply:
         """Returns the response with the state of a kept job.
 
         Args:
@@ -142,7 +142,7 @@
     __slots__ = ()
 
 
-class StatementCall:
+class HeartbeatCall:
     """A worker's heartbeat with its address, state and capacity."""
 
     __slots__ = ("info",)
@@ -160,7 +160,7 @@
         self.name = name
 
 
-OperatorCall = WriteCall | ReadCall | StatementCall | LeaveCall | HttpReply
+OperatorCall = WriteCall | ReadCall | HeartbeatCall | LeaveCall | HttpReply
 
 
 class OperatorProtocol(abc.ABC):
@@ -200,18 +200,20 @@
         """Returns the request that stops a run."""
 
     @abc.abstractmethod
-    def write_pace(self, command: PaceRun) -> bytes:
+    def write_throttle(self, command: ThrottleRun) -> bytes:
         """Returns the request that throttles a run."""
 
     @abc.abstractmethod
-    def write_hold(self, command: HoldWorker) -> bytes:
+    def write_poll(self, command: PollWorker) -> bytes:
         """Returns the long-poll request to a worker.
 
         It renews the worker's lease and asks for its running and ended runs.
         """
 
     @abc.abstractmethod
-    def write_question(self, command: AskAdvisor, address: str) -> bytes:
+    def write_advice_request(
+        self, command: RequestAdvice, address: str
+    ) -> bytes:
         """Returns the request to the advisor for tickets."""
 
     @abc.abstractmethod
@@ -219,9 +221,9 @@
         """Returns the advisor's reply."""
 
     @abc.abstractmethod
-    def read_order_answer(self, result: CallResult) -> OrderAnswer:
+    def read_command_reply(self, result: CallResult) -> CommandReply:
         """Returns a worker's reply to a start or stop request."""
 
     @abc.abstractmethod
-    def read_hold_answer(self, result: CallResult) -> HoldAnswer:
+    def read_poll_reply(self, result: CallResult) -> PollReply:
         """Returns a worker's reply to a poll."""
--- a/packages/node/src/clayfield/node/main.py
+++ b/packages/node/src/clayfield/node/main.py
@@ -3,19 +3,19 @@
 import argparse
 import sys
 
-from clayfield.base import ClayfieldError, Kind
-from clayfield.base.events import set_up_bounded
+from clayfield.base import ClayfieldError, ErrorKind
+from clayfield.base.events import configure_bounded_logging
 from clayfield.base.settings import (
     Setting,
     add_flags,
-    address,
+    int_in_range,
+    parse_address,
+    parse_yes_no,
     read_settings,
-    whole_number,
-    yes_or_no,
 )
-from clayfield.node.own import OwnCallers, OwnOperators, OwnWorkers
+from clayfield.node.native import NativeCallers, NativeOperators, NativeWorkers
 from clayfield.node.process import NodeProcess
-from clayfield.node.settings import NodeSettings, Place
+from clayfield.node.settings import Address, NodeSettings
 
 EXIT_FAILED = 1
 EXIT_USAGE = 2
@@ -23,12 +23,12 @@
 MAX_MS = 3_600_000
 
 
-def _parse_addresses(text: str) -> tuple[Place, ...]:
-    return tuple(address(part) for part in text.split(",") if part)
+def _parse_addresses(text: str) -> tuple[Address, ...]:
+    return tuple(parse_address(part) for part in text.split(",") if part)
 
 
-def _parse_optional_address(text: str) -> Place | None:
-    return address(text) if text else None
+def _parse_optional_address(text: str) -> Address | None:
+    return parse_address(text) if text else None
 
 
 SETTINGS = (
@@ -42,7 +42,7 @@
     ),
     Setting(
         "peers",
-        address,
+        parse_address,
         None,
         "IP:PORT where this node listens for other nodes",
     ),
@@ -79,35 +79,38 @@
     Setting("metrics", _parse_optional_address, "", "IP:PORT for metrics"),
     Setting("data_folder", str, "", "folder for stored state; control nodes"),
     Setting(
-        "first_start", yes_or_no, "no", "yes only if the whole cluster is new"
+        "first_start",
+        parse_yes_no,
+        "no",
+        "yes only if the whole cluster is new",
     ),
     Setting(
-        "losses", whole_number(0, 3), "1", "control nodes that may fail at once"
+        "losses", int_in_range(0, 3), "1", "control nodes that may fail at once"
     ),
     Setting(
         "worker_heartbeat_ms",
-        whole_number(10, MAX_MS),
+        int_in_range(10, MAX_MS),
         "1500",
         "time between a worker's heartbeats",
     ),
     Setting(
         "lease_ms",
-        whole_number(100, MAX_MS),
+        int_in_range(100, MAX_MS),
         "1000",
         "maximum lease of a worker",
     ),
     Setting(
-        "stop_ms", whole_number(1, MAX_MS), "50", "maximum time to stop a run"
+        "stop_ms", int_in_range(1, MAX_MS), "50", "maximum time to stop a run"
     ),
     Setting(
         "grace_ms",
-        whole_number(500, MAX_MS),
+        int_in_range(500, MAX_MS),
         "6000",
         "maximum time of a planned stop",
     ),
     Setting(
         "keep_ended_ms",
-        whole_number(1000, MAX_MS),
+        int_in_range(1000, MAX_MS),
         "120000",
         "time for which the state of an ended kept job is available",
     ),
@@ -142,7 +145,9 @@
     missing = [name for name in required if not getattr(cfg, name)]
     if missing:
         flags = ", ".join("--" + name.replace("_", "-") for name in missing)
-        raise ClayfieldError(Kind.BAD_SETTINGS, f"{role} node: set {flags}.")
+        raise ClayfieldError(
+            ErrorKind.BAD_SETTINGS, f"{role} node: set {flags}."
+        )
 
 
 def main() -> None:
@@ -163,7 +168,7 @@
     try:
         cfg = load_settings()
         check_role(flags.role, cfg)
-        set_up_bounded(cfg.log_level)
+        configure_bounded_logging(cfg.log_level)
         process = _make_process(flags.role, cfg, load_settings)
     except ClayfieldError as exc:
         print(f"clayfield-node: {exc}", file=sys.stderr)
@@ -178,11 +183,11 @@
     if role == "control":
         from clayfield.node.control_process import ControlProcess
 
-        return ControlProcess(cfg, OwnOperators(), load_settings)
+        return ControlProcess(cfg, NativeOperators(), load_settings)
     from clayfield.node.entry_process import EntryProcess
 
     return EntryProcess(
-        cfg, OwnCallers(), OwnOperators(), OwnWorkers(), load_settings
+        cfg, NativeCallers(), NativeOperators(), NativeWorkers(), load_settings
     )
 
 
--- a/packages/node/src/clayfield/node/metrics.py
+++ b/packages/node/src/clayfield/node/metrics.py
@@ -4,16 +4,16 @@
 from aioprometheus.renderer import render
 from twisted.internet import interfaces
 
-from clayfield.base.events import lines_dropped
+from clayfield.base.events import dropped_line_count
 from clayfield.cluster import ControlNode
 from clayfield.node.httpserver import (
     TEXT_TYPE,
-    HttpBounds,
+    HttpLimits,
     HttpRequest,
     HttpServer,
 )
 from clayfield.node.settings import NodeSettings
-from clayfield.pool import Entry
+from clayfield.pool import EntryNode
 from clayfield.wire.cluster import JobEnded
 
 RESPONSE_BUCKETS = [10, 30, 60, 100, 200, 300, 500, 1000, 2000, 5000]
@@ -43,7 +43,7 @@
 
     def render(self) -> bytes:
         """Returns all metrics in the Prometheus text format."""
-        self._dropped.set({}, lines_dropped())
+        self._dropped.set({}, dropped_line_count())
         self._update()
         content, _ = render(self._registry, ["text/plain"])
         return content
@@ -55,7 +55,7 @@
 class EntryMetrics(NodeMetrics):
     """The metrics of an entry node."""
 
-    def __init__(self, entry: Entry):
+    def __init__(self, entry: EntryNode):
         super().__init__()
         self._entry = entry
         self._jobs_ended = Counter(
@@ -118,9 +118,9 @@
 
     def _update(self) -> None:
         control = self._control
-        self._set("leading", "Whether it leads.", int(control.is_sure))
+        self._set("leading", "Whether it leads.", int(control.is_state_current))
         self._set("term", "Of the log.", control.consensus.term)
-        self._set("log_index", "Committed.", control.consensus.commit)
+        self._set("log_index", "Committed.", control.consensus.commit_index)
         self._set("config_version", "In force.", control.state.version)
         self._set("epoch", "Of the latest grant.", control.state.grant.epoch)
         worker_count = len(control.workers.all())
@@ -132,7 +132,7 @@
 
     def __init__(self, reactor: interfaces.IReactorTCP, metrics: NodeMetrics):
         self._metrics = metrics
-        self._server = HttpServer(reactor, self._on_request, HttpBounds)
+        self._server = HttpServer(reactor, self._on_request, HttpLimits)
 
     def start(self, cfg: NodeSettings) -> None:
         """Starts to listen if the settings name an address for metrics.
@@ -144,4 +144,4 @@
             self._server.listen(cfg.metrics)
 
     def _on_request(self, request: HttpRequest) -> None:
-        request.answer(200, self._metrics.render(), TEXT_TYPE)
+        request.respond(200, self._metrics.render(), TEXT_TYPE)
--- a/packages/node/src/clayfield/node/own/callers.py
+++ b/packages/node/src/clayfield/node/native/callers.py
@@ -10,8 +10,9 @@
 
 import msgspec
 
-from clayfield.base import ClayfieldError, Kind
-from clayfield.node.faces import (
+from clayfield.base import ClayfieldError, ErrorKind
+from clayfield.node.httpserver import HttpRequest
+from clayfield.node.interfaces import (
     CallerCall,
     CallerProtocol,
     CancelCall,
@@ -20,9 +21,8 @@
     StateCall,
     SubmitCall,
 )
-from clayfield.node.httpserver import HttpRequest
 from clayfield.pool import Routes
-from clayfield.wire.cluster import JobEnded, StateTold
+from clayfield.wire.cluster import JobEnded, JobStateReply
 from clayfield.wire.jobs import (
     MAX_TASKS,
     Job,
@@ -32,7 +32,7 @@
     Schedule,
     Step,
     Verdict,
-    find_step_fault,
+    find_step_error,
 )
 
 MS_PER_S = 1000.0
@@ -40,12 +40,12 @@
 MAX_SPEC_BYTES = 4000
 _PATH = re.compile(r"/v1/queues/[^/]+(/jobs/(?P<key>[A-Za-z0-9_-]{1,64}))?/?")
 _KINDS_BY_REASON = {
-    Reason.TOO_LATE: Kind.QUEUE_FULL,
-    Reason.TOO_MANY: Kind.QUEUE_FULL,
-    Reason.NOT_STORED: Kind.NO_WORKER,
-    Reason.NO_WORKER: Kind.NO_WORKER,
-    Reason.NO_HOLDER: Kind.NO_WORKER,
-    Reason.STOPPING: Kind.STOPPING,
+    Reason.TOO_LATE: ErrorKind.QUEUE_FULL,
+    Reason.TOO_MANY: ErrorKind.QUEUE_FULL,
+    Reason.NOT_STORED: ErrorKind.NO_WORKER,
+    Reason.NO_WORKER: ErrorKind.NO_WORKER,
+    Reason.NO_HOLDER: ErrorKind.NO_WORKER,
+    Reason.STOPPING: ErrorKind.STOPPING,
 }
 
 
@@ -97,19 +97,19 @@
 _decoder = msgspec.json.Decoder(_Submission)
 
 
-class OwnCallers(CallerProtocol):
+class NativeCallers(CallerProtocol):
     """Decodes callers' requests; the path names the queue."""
 
     def read_call(self, request: HttpRequest, routes: Routes) -> CallerCall:
         """Returns the decoded call, or the response to an invalid request."""
         if not routes.version:
-            return _problem(Kind.NOT_READY, "", FIRST_RETRY_MS)
+            return _problem(ErrorKind.NOT_READY, "", FIRST_RETRY_MS)
         path = request.path.partition("?")[0]
         matched = _PATH.fullmatch(path)
         host = request.headers.get("host", "").partition(":")[0]
         route = routes.find(host, path) or routes.find("", path)
         if matched is None or route is None:
-            return _problem(Kind.NOT_FOUND, path)
+            return _problem(ErrorKind.NOT_FOUND, path)
         key = matched.group("key")
         if key is None:
             return CountCall(route.name)
@@ -127,24 +127,28 @@
             case Verdict.ACCEPTED:
                 return HttpReply(202, msgspec.json.encode(_Outcome("accepted")))
             case Verdict.CANCELLED:
-                return _problem(Kind.NOT_FOUND, "The job was cancelled.")
+                return _problem(ErrorKind.NOT_FOUND, "The job was cancelled.")
             case Verdict.REFUSED:
-                kind = _KINDS_BY_REASON.get(ended.reason, Kind.DEADLINE)
+                kind = _KINDS_BY_REASON.get(ended.reason, ErrorKind.DEADLINE)
                 return _problem(kind, ended.reason, ended.retry_after_ms)
-        return _problem(Kind.TASK_LOST, ended.reason)
+        return _problem(ErrorKind.TASK_LOST, ended.reason)
 
-    def write_cancel_reply(self, is_known: bool | None) -> HttpReply:
+    def write_cancel_reply(self, is_found: bool | None) -> HttpReply:
         """Returns the response to a cancel request."""
-        if is_known is None:
-            return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
-        return HttpReply(200) if is_known else _problem(Kind.NOT_FOUND, "")
+        if is_found is None:
+            return _problem(
+                ErrorKind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS
+            )
+        return HttpReply(200) if is_found else _problem(ErrorKind.NOT_FOUND, "")
 
-    def write_state_reply(self, reply: StateTold | None) -> HttpReply:
+    def write_state_reply(self, reply: JobStateReply | None) -> HttpReply:
         """Returns the response with the state of a kept job."""
-        if reply is None or not reply.is_sure:
-            return _problem(Kind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS)
+        if reply is None or not reply.is_authoritative:
+            return _problem(
+                ErrorKind.NO_WORKER, Reason.NO_HOLDER, FIRST_RETRY_MS
+            )
         if reply.state is None:
-            return _problem(Kind.NOT_FOUND, "No kept job has this key.")
+            return _problem(ErrorKind.NOT_FOUND, "No kept job has this key.")
         return HttpReply(200, msgspec.json.encode(_State(reply.state)))
 
     def write_count_reply(self, waiting: int) -> HttpReply:
@@ -161,7 +165,7 @@
         case "GET":
             return StateCall(key)
     raise ClayfieldError(
-        Kind.NOT_FOUND, f"{request.method} is not supported here."
+        ErrorKind.NOT_FOUND, f"{request.method} is not supported here."
     )
 
 
@@ -174,17 +178,17 @@
     try:
         body = _decoder.decode(content)
     except msgspec.ValidationError as exc:
-        raise ClayfieldError(Kind.BAD_FIELD, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FIELD, f"{exc}.") from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_JSON, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_JSON, f"{exc}.") from exc
     if len(body.spec.encode()) > MAX_SPEC_BYTES:
         raise ClayfieldError(
-            Kind.TOO_LARGE, f"spec is longer than {MAX_SPEC_BYTES} bytes."
+            ErrorKind.TOO_LARGE, f"spec is longer than {MAX_SPEC_BYTES} bytes."
         )
     steps = tuple(_to_step(step) for step in body.steps)
-    error = find_step_fault(steps)
+    error = find_step_error(steps)
     if error:
-        raise ClayfieldError(Kind.BAD_FIELD, error)
+        raise ClayfieldError(ErrorKind.BAD_FIELD, error)
     _check_schedule(body.schedule)
     timeout_ms = body.timeout_ms or route.timeout_ms
     job = route.make_job(
@@ -192,7 +196,7 @@
     )
     if job.task_count > MAX_TASKS:
         raise ClayfieldError(
-            Kind.TOO_LARGE, f"job has more than {MAX_TASKS} tasks."
+            ErrorKind.TOO_LARGE, f"job has more than {MAX_TASKS} tasks."
         )
     return job
 
@@ -202,7 +206,7 @@
         return
     if schedule.repeats < 1 or schedule.interval_ms < 0:
         raise ClayfieldError(
-            Kind.BAD_FIELD,
+            ErrorKind.BAD_FIELD,
             "schedule: repeats must be above 0 and interval_ms at least 0.",
         )
 
@@ -220,14 +224,14 @@
         step.max_per_worker,
         is_checkpointing=step.checkpointing,
         is_gang=step.gang,
-        wants_one_rack=step.one_rack,
-        is_lasting=step.lasting,
+        prefers_one_rack=step.one_rack,
+        is_long_running=step.lasting,
         target_ms=step.target_ms,
-        fills=step.fills,
+        is_batch=step.fills,
     )
 
 
-def _problem(kind: Kind, detail: str, retry_ms: float = 0.0) -> HttpReply:
+def _problem(kind: ErrorKind, detail: str, retry_ms: float = 0.0) -> HttpReply:
     body = _Problem(kind.code, kind.title, str(detail), kind.remedy)
     headers: tuple[tuple[str, str], ...] = ()
     if retry_ms:
--- a/packages/node/src/clayfield/node/own/operators.py
+++ b/packages/node/src/clayfield/node/native/operators.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from clayfield.base import ClayfieldError, Kind
-from clayfield.node.faces import (
+from clayfield.base import ClayfieldError, ErrorKind
+from clayfield.node.httpserver import HttpRequest
+from clayfield.node.interfaces import (
+    HeartbeatCall,
     HttpReply,
     LeaveCall,
     OperatorCall,
     OperatorProtocol,
     ReadCall,
-    StatementCall,
     WriteCall,
 )
-from clayfield.node.httpserver import HttpRequest
 from clayfield.wire.jobs import (
     Limits,
     Route,
@@ -88,7 +88,7 @@
 _statement_decoder = msgspec.json.Decoder(_Statement)
 
 
-class OwnOperators(OperatorProtocol):
+class NativeOperators(OperatorProtocol):
     """Decodes operators' requests and workers' heartbeats."""
 
     def read_call(self, request: HttpRequest) -> OperatorCall:
@@ -102,7 +102,7 @@
                 return _read_worker_call(request, name)
         except ClayfieldError as exc:
             return _problem(exc)
-        return _problem(ClayfieldError(Kind.NOT_FOUND, path))
+        return _problem(ClayfieldError(ErrorKind.NOT_FOUND, path))
 
     def read_table(self, document: bytes) -> RoutingTable:
         """Returns the routing table of a valid configuration."""
@@ -118,9 +118,9 @@
     try:
         return decoder.decode(body)
     except msgspec.ValidationError as exc:
-        raise ClayfieldError(Kind.BAD_FIELD, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FIELD, f"{exc}.") from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_JSON, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_JSON, f"{exc}.") from exc
 
 
 def _read_routing_call(request: HttpRequest) -> OperatorCall:
@@ -128,7 +128,7 @@
         return ReadCall()
     if request.method != "PUT":
         raise ClayfieldError(
-            Kind.NOT_FOUND, f"{request.method} is not supported here."
+            ErrorKind.NOT_FOUND, f"{request.method} is not supported here."
         )
     routing = _decode(request.body, _routing_decoder)
     _validate(routing)
@@ -157,7 +157,7 @@
             problems.append(f"{queue.name}: is listed twice.")
         queue_ids.add((queue.host, queue.name))
     if problems:
-        raise ClayfieldError(Kind.BAD_CONFIG, " ".join(problems))
+        raise ClayfieldError(ErrorKind.BAD_CONFIG, " ".join(problems))
 
 
 def _read_worker_call(request: HttpRequest, name: str) -> OperatorCall:
@@ -165,10 +165,10 @@
         return LeaveCall(name)
     if request.method != "PUT":
         raise ClayfieldError(
-            Kind.NOT_FOUND, f"{request.method} is not supported here."
+            ErrorKind.NOT_FOUND, f"{request.method} is not supported here."
         )
     heartbeat = _decode(request.body, _statement_decoder)
-    return StatementCall(
+    return HeartbeatCall(
         WorkerInfo(
             name,
             heartbeat.service,
--- a/packages/node/src/clayfield/node/own/workers.py
+++ b/packages/node/src/clayfield/node/native/workers.py
@@ -1,39 +1,39 @@
 """The native HTTP protocol to workers and to the advisor.
 
-Workers serve `/v1/runs/start`, `stop`, `pace` (throttle a run) and `hold`
+Workers serve `/v1/runs/start`, `stop`, `throttle` (throttle a run) and `poll`
 (the poll that renews the worker's lease). The advisor serves `/v1/advice`.
 """
 
 import msgspec
 
-from clayfield.node.faces import WorkerProtocol
 from clayfield.node.httpclient import CallOutcome, CallResult
+from clayfield.node.interfaces import WorkerProtocol
 from clayfield.pool import (
     Advice,
-    AskAdvisor,
-    EndedRow,
+    CommandReply,
+    CommandResult,
+    EndedRun,
     EndKind,
-    HoldAnswer,
-    HoldWorker,
-    OrderAnswer,
-    OrderResult,
-    PaceRun,
-    RunningRow,
+    PollReply,
+    PollWorker,
+    RequestAdvice,
+    RunningRun,
     StartRun,
     StopRun,
     TaskId,
+    ThrottleRun,
 )
 
 START_PATH = "/v1/runs/start"
 STOP_PATH = "/v1/runs/stop"
-PACE_PATH = "/v1/runs/pace"
-HOLD_PATH = "/v1/runs/hold"
+THROTTLE_PATH = "/v1/runs/pace"
+POLL_PATH = "/v1/runs/hold"
 ADVICE_PATH = "/v1/advice"
 HTTP_OK = 200
 
 _RESULTS_BY_OUTCOME = {
-    CallOutcome.UNREACHED: OrderResult.UNREACHED,
-    CallOutcome.LOST: OrderResult.LOST,
+    CallOutcome.UNREACHED: CommandResult.UNREACHED,
+    CallOutcome.LOST: CommandResult.LOST,
 }
 
 
@@ -70,7 +70,7 @@
     fence: int
 
 
-class PaceBody(msgspec.Struct):
+class ThrottleBody(msgspec.Struct):
     """Request body that throttles a run to a percentage of its speed."""
 
     worker: str
@@ -80,7 +80,7 @@
     fence: int
 
 
-class HoldBody(msgspec.Struct):
+class PollBody(msgspec.Struct):
     """Request body of a poll.
 
     Attributes:
@@ -137,7 +137,7 @@
     saved: str = ""
 
 
-class WorkerAnswer(msgspec.Struct):
+class WorkerReply(msgspec.Struct):
     """Response body of a worker.
 
     Attributes:
@@ -147,7 +147,7 @@
         ended: the ended runs after `seen_upto`; replies to polls only.
     """
 
-    result: OrderResult
+    result: CommandResult
     clock_ms: float
     running: list[RunningItem] = []
     ended: list[EndedItem] = []
@@ -175,10 +175,10 @@
 
 
 _advice_decoder = msgspec.json.Decoder(AdviceBody)
-_reply_decoder = msgspec.json.Decoder(WorkerAnswer)
+_reply_decoder = msgspec.json.Decoder(WorkerReply)
 
 
-class OwnWorkers(WorkerProtocol):
+class NativeWorkers(WorkerProtocol):
     """Encodes requests to workers and the advisor, decodes the responses."""
 
     def write_start(self, command: StartRun) -> bytes:
@@ -202,32 +202,34 @@
         )
         return _render_request(STOP_PATH, command.address, body)
 
-    def write_pace(self, command: PaceRun) -> bytes:
+    def write_throttle(self, command: ThrottleRun) -> bytes:
         """Returns the request that throttles a run."""
-        body = PaceBody(
+        body = ThrottleBody(
             command.worker,
             command.task_id,
             command.number,
-            command.percent,
+            command.speed_percent,
             command.fence,
         )
-        return _render_request(PACE_PATH, command.address, body)
+        return _render_request(THROTTLE_PATH, command.address, body)
 
-    def write_hold(self, command: HoldWorker) -> bytes:
+    def write_poll(self, command: PollWorker) -> bytes:
         """Returns the long-poll request that renews a worker's lease."""
-        body = HoldBody(
+        body = PollBody(
             command.worker,
-            command.seen_upto,
+            command.acked_sequence,
             command.wait_ms,
             command.fence,
             command.lease_until_ms,
         )
-        return _render_request(HOLD_PATH, command.address, body)
+        return _render_request(POLL_PATH, command.address, body)
 
-    def write_question(self, command: AskAdvisor, address: str) -> bytes:
+    def write_advice_request(
+        self, command: RequestAdvice, address: str
+    ) -> bytes:
         """Returns the request to the advisor for tickets."""
         body = QuestionBody(
-            command.job, command.time, command.step, command.workers
+            command.job, command.iteration, command.step, command.worker_names
         )
         return _render_request(ADVICE_PATH, address, body)
 
@@ -242,41 +244,41 @@
             return Advice(False)
         return Advice(True, reply.tickets, reply.valid_ms)
 
-    def read_order_answer(self, result: CallResult) -> OrderAnswer:
+    def read_command_reply(self, result: CallResult) -> CommandReply:
         """Returns a worker's reply to a start or stop request."""
         reply = _read_reply(result)
-        if isinstance(reply, OrderResult):
-            return OrderAnswer(reply)
-        return OrderAnswer(reply.result, reply.clock_ms)
+        if isinstance(reply, CommandResult):
+            return CommandReply(reply)
+        return CommandReply(reply.result, reply.clock_ms)
 
-    def read_hold_answer(self, result: CallResult) -> HoldAnswer:
+    def read_poll_reply(self, result: CallResult) -> PollReply:
         """Returns a worker's reply to a poll."""
         reply = _read_reply(result)
-        if isinstance(reply, OrderResult):
-            return HoldAnswer(reply)
-        return HoldAnswer(
+        if isinstance(reply, CommandResult):
+            return PollReply(reply)
+        return PollReply(
             reply.result,
             reply.clock_ms,
             [
-                RunningRow(r.task, r.number, r.percent, r.saved, r.figure)
+                RunningRun(r.task, r.number, r.percent, r.saved, r.figure)
                 for r in reply.running
             ],
             [
-                EndedRow(e.sequence, e.task, e.number, e.kind, e.saved)
+                EndedRun(e.sequence, e.task, e.number, e.kind, e.saved)
                 for e in reply.ended
             ],
         )
 
 
-def _read_reply(result: CallResult) -> WorkerAnswer | OrderResult:
+def _read_reply(result: CallResult) -> WorkerReply | CommandResult:
     if result.outcome is not CallOutcome.ANSWERED:
         return _RESULTS_BY_OUTCOME[result.outcome]
     if result.status != HTTP_OK:
-        return OrderResult.UNHEALTHY
+        return CommandResult.UNHEALTHY
     try:
         return _reply_decoder.decode(result.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return OrderResult.LOST
+        return CommandResult.LOST
 
 
 def _render_request(path: str, address: str, body: msgspec.Struct) -> bytes:
--- a/packages/node/src/clayfield/node/process.py
+++ b/packages/node/src/clayfield/node/process.py
@@ -64,7 +64,7 @@
             return
         reactor.callLater(TICK_S, self._tick)
         self._run_guarded(self.tick)
-        self.kick()
+        self.schedule_actions()
 
     def _run_guarded(self, function: Callable[[], None]) -> None:
         """Calls a function; logs an unexpected exception and drops it."""
@@ -73,15 +73,15 @@
         except Exception:
             emit(Event.INTERNAL, error=traceback.format_exc(limit=-4))
 
-    def kick(self) -> None:
-        """Schedules `carry_out` for the next iteration of the event loop."""
+    def schedule_actions(self) -> None:
+        """Schedules `run_actions` for the next iteration of the event loop."""
         if not self._is_scheduled:
             self._is_scheduled = True
             reactor.callLater(0, self._run_scheduled_actions)
 
     def _run_scheduled_actions(self) -> None:
         self._is_scheduled = False
-        self._run_guarded(self.carry_out)
+        self._run_guarded(self.run_actions)
 
     def fail(self, reason: str) -> None:
         """Ends the process after an error from which it can't recover."""
@@ -112,7 +112,7 @@
         """Runs the periodic work; called every `TICK_S`."""
 
     @abc.abstractmethod
-    def carry_out(self) -> None:
+    def run_actions(self) -> None:
         """Runs the queued actions."""
 
     @abc.abstractmethod
--- a/packages/node/src/clayfield/node/settings.py
+++ b/packages/node/src/clayfield/node/settings.py
@@ -1,6 +1,6 @@
 """The settings of a node."""
 
-Place = tuple[str, int]
+Address = tuple[str, int]
 
 
 class NodeSettings:
@@ -53,17 +53,17 @@
         "worker_heartbeat_ms",
     )
 
-    def __init__(self, name: str, hall: str, peers: Place):
+    def __init__(self, name: str, hall: str, peers: Address):
         self.cluster = "clayfield"
         self.name = name
         self.hall = hall
         self.peers = peers
-        self.seeds: tuple[Place, ...] = ()
-        self.callers: Place | None = None
-        self.readiness: Place | None = None
-        self.operators: Place | None = None
-        self.advisor: Place | None = None
-        self.metrics: Place | None = None
+        self.seeds: tuple[Address, ...] = ()
+        self.callers: Address | None = None
+        self.readiness: Address | None = None
+        self.operators: Address | None = None
+        self.advisor: Address | None = None
+        self.metrics: Address | None = None
         self.data_folder = ""
         self.is_first_start = False
         self.losses = 1
@@ -75,6 +75,6 @@
         self.log_level = "info"
 
 
-def place_text(place: Place) -> str:
+def format_address(place: Address) -> str:
     """Returns an address as `IP:PORT`."""
     return f"{place[0]}:{place[1]}"
--- a/packages/node/src/clayfield/node/streams.py
+++ b/packages/node/src/clayfield/node/streams.py
@@ -14,9 +14,9 @@
 from twisted.protocols.basic import Int32StringReceiver
 from twisted.python import failure
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.base.events import Event, emit
-from clayfield.base.settings import address as read_address
+from clayfield.base.settings import parse_address as read_address
 from clayfield.state.membership import box_of
 from clayfield.wire.cluster import (
     MAX_FRAME_BYTES,
@@ -41,11 +41,11 @@
     """Handles the events of the streams to other nodes."""
 
     @abc.abstractmethod
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles the opening of the first stream to a node."""
 
     @abc.abstractmethod
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the loss of the last stream to a node."""
 
     @abc.abstractmethod
@@ -100,7 +100,7 @@
         greeting = decode_node_greeting(string)
         if greeting.cluster != self._streams.greeting.cluster:
             raise ClayfieldError(
-                Kind.BAD_FRAME,
+                ErrorKind.BAD_FRAME,
                 f"peer is in another cluster, {greeting.cluster!r}.",
             )
         self.node = greeting.node
@@ -267,7 +267,7 @@
         self._roles[greeting.node] = greeting.role
         if len(streams) == 1:
             emit(Event.PEER_CONNECTED, peer=greeting.node)
-            self.listener.on_open(greeting)
+            self.listener.on_connected(greeting)
 
     def on_lost(self, stream: _Stream, reason: failure.Failure) -> None:
         """Removes a connection and schedules a reconnect."""
@@ -287,4 +287,4 @@
                 peer=stream.node,
                 error=reason.getErrorMessage(),
             )
-            self.listener.on_closed(stream.node)
+            self.listener.on_disconnected(stream.node)
--- a/packages/node/src/clayfield/node/workers.py
+++ b/packages/node/src/clayfield/node/workers.py
@@ -9,21 +9,21 @@
 from twisted.internet import interfaces
 
 from clayfield.base import Clock
-from clayfield.node.faces import WorkerProtocol
 from clayfield.node.httpclient import (
     MAX_IDLE_CONNECTIONS,
     CallResult,
     ConnectionPool,
     IdleConnections,
 )
+from clayfield.node.interfaces import WorkerProtocol
 from clayfield.pool import (
     Advice,
-    AskAdvisor,
-    Entry,
-    HoldWorker,
-    PaceRun,
+    EntryNode,
+    PollWorker,
+    RequestAdvice,
     StartRun,
     StopRun,
+    ThrottleRun,
 )
 
 # Time after which a command without a response counts as lost.
@@ -39,7 +39,7 @@
 OnResult = Callable[[CallResult], None]
 
 
-class WorkerOrders:
+class WorkerCommands:
     """Sends commands and passes each reply to the entry node exactly once.
 
     Replies include failed calls. A throttle command is the exception: its
@@ -51,8 +51,8 @@
         reactor: interfaces.IReactorTCP,
         clock: Clock,
         protocol: WorkerProtocol,
-        entry: Entry,
-        kick: Callback,
+        entry: EntryNode,
+        schedule_actions: Callback,
         advisor: str = "",
     ):
         """Creates it without connections.
@@ -62,14 +62,15 @@
             clock: source of the send times of polls.
             protocol: encoder of requests and decoder of responses.
             entry: handler of the replies.
-            kick: called after each reply, to run the resulting actions.
+            schedule_actions: called after each reply, to run the resulting
+                actions.
             advisor: IP:PORT of the advisor, "" for none.
         """
         self._reactor = reactor
         self._clock = clock
         self._protocol = protocol
         self._entry = entry
-        self._kick = kick
+        self._schedule_actions = schedule_actions
         self._advisor_address = advisor
         self._pools: dict[str, ConnectionPool] = {}
         self._idle_connections = IdleConnections(MAX_IDLE_CONNECTIONS)
@@ -79,13 +80,13 @@
         """Sends a request to start a run."""
 
         def on_result(result: CallResult) -> None:
-            self._entry.on_start_answer(
+            self._entry.on_start_reply(
                 command.worker,
                 command.task_id,
                 command.number,
-                self._protocol.read_order_answer(result),
+                self._protocol.read_command_reply(result),
             )
-            self._kick()
+            self._schedule_actions()
 
         request = self._protocol.write_start(command)
         self._call(command.address, request, COMMAND_TIMEOUT_S, on_result)
@@ -94,51 +95,53 @@
         """Sends a request to stop a run."""
 
         def on_result(result: CallResult) -> None:
-            self._entry.on_stop_answer(
+            self._entry.on_stop_reply(
                 command.worker,
                 command.task_id,
                 command.number,
-                self._protocol.read_order_answer(result),
+                self._protocol.read_command_reply(result),
             )
-            self._kick()
+            self._schedule_actions()
 
         request = self._protocol.write_stop(command)
         self._call(command.address, request, COMMAND_TIMEOUT_S, on_result)
 
-    def throttle(self, command: PaceRun) -> None:
+    def throttle(self, command: ThrottleRun) -> None:
         """Sends a request to throttle a run."""
-        request = self._protocol.write_pace(command)
+        request = self._protocol.write_throttle(command)
         self._call(command.address, request, COMMAND_TIMEOUT_S, _ignore_result)
 
-    def poll(self, command: HoldWorker) -> None:
+    def poll(self, command: PollWorker) -> None:
         """Sends a poll: renews the lease and lists the worker's runs."""
         sent_ms = self._clock.now_ms()
 
         def on_result(result: CallResult) -> None:
-            self._entry.on_hold_answer(
+            self._entry.on_poll_reply(
                 command.worker,
-                command.call,
+                command.poll_id,
                 sent_ms,
-                self._protocol.read_hold_answer(result),
+                self._protocol.read_poll_reply(result),
             )
-            self._kick()
+            self._schedule_actions()
 
-        request = self._protocol.write_hold(command)
+        request = self._protocol.write_poll(command)
         timeout_s = command.wait_ms / MS_PER_S + POLL_MARGIN_S
         self._call(command.address, request, timeout_s, on_result)
 
-    def request_advice(self, command: AskAdvisor) -> None:
+    def request_advice(self, command: RequestAdvice) -> None:
         """Requests tickets; without an advisor the reply is negative."""
 
         def on_result(result: CallResult) -> None:
             advice = self._protocol.read_advice(result)
-            self._entry.on_advice(command.call, advice)
-            self._kick()
+            self._entry.on_advice(command.request_id, advice)
+            self._schedule_actions()
 
         if not self._advisor_address:
-            self._entry.on_advice(command.call, Advice(False))
+            self._entry.on_advice(command.request_id, Advice(False))
             return
-        request = self._protocol.write_question(command, self._advisor_address)
+        request = self._protocol.write_advice_request(
+            command, self._advisor_address
+        )
         self._call(self._advisor_address, request, ADVICE_TIMEOUT_S, on_result)
 
     def _call(
--- a/packages/pool/src/clayfield/pool/__init__.py
+++ b/packages/pool/src/clayfield/pool/__init__.py
@@ -5,53 +5,53 @@
 """
 
 from clayfield.pool.actions import (
-    AnswerCaller,
-    AnswerCancel,
-    AnswerState,
-    Dial,
+    ConnectNode,
     EntryAction,
+    ReplyToCaller,
+    ReplyToCancel,
+    ReplyToStateRequest,
 )
-from clayfield.pool.entry import Entry
-from clayfield.pool.orders import (
+from clayfield.pool.commands import (
     Advice,
-    AskAdvisor,
-    EndedRow,
+    CommandReply,
+    CommandResult,
+    EndedRun,
     EndKind,
-    HoldAnswer,
-    HoldWorker,
-    OrderAnswer,
-    OrderResult,
-    PaceRun,
-    RunningRow,
+    PollReply,
+    PollWorker,
+    RequestAdvice,
+    RunningRun,
+    SendToEntry,
     StartRun,
     StopRun,
-    TellEntry,
+    ThrottleRun,
 )
+from clayfield.pool.entry_node import EntryNode
 from clayfield.pool.routing import Routes
 from clayfield.pool.tasks import TaskId
 from clayfield.pool.timing import PoolTiming
 
 __all__ = [
     "Advice",
-    "AnswerCaller",
-    "AnswerCancel",
-    "AnswerState",
-    "AskAdvisor",
-    "Dial",
+    "ReplyToCaller",
+    "ReplyToCancel",
+    "ReplyToStateRequest",
+    "RequestAdvice",
+    "ConnectNode",
     "EndKind",
-    "EndedRow",
-    "Entry",
+    "EndedRun",
+    "EntryNode",
     "EntryAction",
     "PoolTiming",
-    "HoldAnswer",
-    "HoldWorker",
-    "OrderAnswer",
-    "OrderResult",
-    "PaceRun",
+    "PollReply",
+    "PollWorker",
+    "CommandReply",
+    "CommandResult",
+    "ThrottleRun",
     "Routes",
-    "RunningRow",
+    "RunningRun",
     "StartRun",
     "StopRun",
     "TaskId",
-    "TellEntry",
+    "SendToEntry",
 ]
--- a/packages/pool/src/clayfield/pool/actions.py
+++ b/packages/pool/src/clayfield/pool/actions.py
@@ -1,61 +1,61 @@
 """Actions of an entry node, which its process executes.
 
 Besides the commands to workers and messages to nodes, these are replies to
-callers and connections to nodes. `waiter` is the number by which the process
-identifies a caller's pending request.
+callers and connections to nodes. `request_id` is the number by which the
+process identifies a caller's pending request.
 """
 
-from clayfield.pool.orders import PoolAction
-from clayfield.wire.cluster import JobEnded, StateTold
+from clayfield.pool.commands import PoolAction
+from clayfield.wire.cluster import JobEnded, JobStateReply
 
 
-class AnswerCaller:
+class ReplyToCaller:
     """Sends a caller the result of its job.
 
     Attributes:
-        waiter: number of the caller's request.
+        request_id: number of the caller's request.
         ended: the result.
     """
 
-    __slots__ = ("ended", "waiter")
+    __slots__ = ("ended", "request_id")
 
-    def __init__(self, waiter: int, ended: JobEnded):
-        self.waiter = waiter
+    def __init__(self, request_id: int, ended: JobEnded):
+        self.request_id = request_id
         self.ended = ended
 
 
-class AnswerCancel:
+class ReplyToCancel:
     """Sends a caller the result of its request to cancel a job.
 
     Attributes:
-        waiter: number of the caller's request.
-        is_known: whether the job was found; None if that could not be
+        request_id: number of the caller's request.
+        is_found: whether the job was found; None if that could not be
             determined.
     """
 
-    __slots__ = ("is_known", "waiter")
+    __slots__ = ("is_found", "request_id")
 
-    def __init__(self, waiter: int, is_known: bool | None):
-        self.waiter = waiter
-        self.is_known = is_known
+    def __init__(self, request_id: int, is_found: bool | None):
+        self.request_id = request_id
+        self.is_found = is_found
 
 
-class AnswerState:
+class ReplyToStateRequest:
     """Sends a caller the state of a kept job.
 
     Attributes:
-        waiter: number of the caller's request.
-        told: the state; None if it could not be determined.
+        request_id: number of the caller's request.
+        reply: the state; None if it could not be determined.
     """
 
-    __slots__ = ("told", "waiter")
+    __slots__ = ("reply", "request_id")
 
-    def __init__(self, waiter: int, told: StateTold | None):
-        self.waiter = waiter
-        self.told = told
+    def __init__(self, request_id: int, reply: JobStateReply | None):
+        self.request_id = request_id
+        self.reply = reply
 
 
-class Dial:
+class ConnectNode:
     """Opens a connection to a node and keeps it open.
 
     Attributes:
@@ -68,4 +68,10 @@
         self.node = node
 
 
-EntryAction = PoolAction | AnswerCaller | AnswerCancel | AnswerState | Dial
+EntryAction = (
+    PoolAction
+    | ReplyToCaller
+    | ReplyToCancel
+    | ReplyToStateRequest
+    | ConnectNode
+)
--- a/packages/pool/src/clayfield/pool/admission.py
+++ b/packages/pool/src/clayfield/pool/admission.py
@@ -7,14 +7,14 @@
 import math
 from collections.abc import Iterable
 
-from clayfield.pool.estimates import Estimates
+from clayfield.pool.estimates import DurationEstimator
 from clayfield.pool.forecast import Forecast
 from clayfield.pool.tasks import OpenJob, Run, Task, TaskState
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import Job, Step
 
 # Duration of a start request and the report of an end.
-OVERHEAD_MS = 4.0
+TASK_OVERHEAD_MS = 4.0
 # A job is late when less time than this share of its longest chain of steps
 # remains.
 LATE_SHARE = 0.8
@@ -30,10 +30,12 @@
     """Objectives and forecasts of the jobs of one holder."""
 
     def __init__(self) -> None:
-        self._estimates = Estimates()
+        self._estimates = DurationEstimator()
         self._margins: dict[str, tuple[float, float]] = {}
 
-    def learn(self, queue: str, estimate_ms: float, took_ms: float) -> None:
+    def on_task_done(
+        self, queue: str, estimate_ms: float, took_ms: float
+    ) -> None:
         """Updates a queue's estimates with the duration of an ended task.
 
         Args:
@@ -41,7 +43,7 @@
             estimate_ms: the caller's estimate, in ms.
             took_ms: the duration on a worker of normal speed, in ms.
         """
-        self._estimates.on_end(queue, estimate_ms, took_ms)
+        self._estimates.add_sample(queue, estimate_ms, took_ms)
 
     def on_completed(self, open_job: OpenJob, now_ms: float) -> None:
         """Adjusts the margin of a queue after a job of it was completed.
@@ -67,10 +69,10 @@
         set_ms, margin = entry
         return margin * math.exp((set_ms - now_ms) / MARGIN_DECAY_MS)
 
-    def allowed_ms(self, job: Job, now_ms: float) -> float:
+    def max_forecast_ms(self, job: Job, now_ms: float) -> float:
         """Returns the highest forecast with which a job is admitted, in ms."""
         margin = self._margin(job.queue, now_ms)
-        least_ms = self.longest_ms(job) + OVERHEAD_MS
+        least_ms = self.critical_path_ms(job) + TASK_OVERHEAD_MS
         return max(least_ms, (1.0 - margin) * self.objective_ms(job))
 
     def expected_ms(self, job: Job, task: Task) -> float:
@@ -82,18 +84,18 @@
 
     def _step_ms(self, job: Job, step: Step) -> float:
         """Returns the expected duration of a task of a step, in ms."""
-        if step.is_lasting:
+        if step.is_long_running:
             return math.inf
         return self._estimates.expected_ms(job.queue, step.estimate_ms)
 
-    def longest_ms(self, job: Job) -> float:
+    def critical_path_ms(self, job: Job) -> float:
         """Returns the expected duration of the longest chain of steps."""
         expected = [self._step_ms(job, step) for step in job.steps]
         return _longest_chain_ms(job, expected)
 
     def objective_ms(self, job: Job) -> float:
         """Returns how long after its arrival a job should end, in ms."""
-        return job.stretch * self.longest_ms(job) + job.target_ms
+        return job.stretch * self.critical_path_ms(job) + job.target_ms
 
     def late_at_ms(self, open_job: OpenJob) -> float:
         """Returns the time from which on a job counts as late, in ms.
@@ -101,12 +103,12 @@
         It is infinite for long-running and scheduled jobs.
         """
         job = open_job.job
-        if open_job.is_lasting or job.schedule:
+        if open_job.is_long_running or job.schedule:
             return math.inf
-        needed_ms = self.longest_ms(job) * LATE_SHARE
+        needed_ms = self.critical_path_ms(job) * LATE_SHARE
         return open_job.arrived_ms + self.objective_ms(job) - needed_ms
 
-    def places(
+    def slot_free_times(
         self,
         workers: Iterable[Worker],
         size: float,
@@ -121,15 +123,15 @@
         """
         free_ms: list[float] = []
         for worker in workers:
-            if not worker.is_open(now_ms):
+            if not worker.accepts_tasks(now_ms):
                 continue
             if not worker.is_slow:
                 free_ms += [0.0] * int(worker.free_cpu // size)
             for run in worker.runs.values():
-                free_ms.append(left_ms(run, now_ms))
+                free_ms.append(remaining_ms(run, now_ms))
         return Forecast(free_ms)
 
-    def add_to(
+    def add_to_forecast(
         self, forecast: Forecast, open_job: OpenJob, now_ms: float
     ) -> float:
         """Adds the remaining tasks of a job to a forecast.
@@ -140,7 +142,7 @@
         return max(
             (
                 self._add_iteration(forecast, open_job, iteration, now_ms)
-                for iteration in range(open_job.released)
+                for iteration in range(open_job.due_iterations)
             ),
             default=0.0,
         )
@@ -183,8 +185,8 @@
     if task.state is TaskState.DONE:
         return 0.0
     if task.run is not None:
-        return left_ms(task.run, now_ms)
-    return forecast.add(expected_ms, ready_ms)
+        return remaining_ms(task.run, now_ms)
+    return forecast.add_task(expected_ms, ready_ms)
 
 
 def _longest_chain_ms(job: Job, durations_ms: list[float]) -> float:
@@ -201,12 +203,12 @@
     return max(ends, default=0.0)
 
 
-def left_ms(run: Run, now_ms: float) -> float:
+def remaining_ms(run: Run, now_ms: float) -> float:
     """Returns the expected remaining duration of a run, in ms.
 
     An overdue run is assumed to take at least as long again as so far.
     """
-    elapsed_ms = now_ms - run.since_ms
+    elapsed_ms = now_ms - run.commanded_ms
     if run.is_overdue(now_ms):
         return max(run.expected_ms, elapsed_ms)
     return max(0.0, run.expected_ms - elapsed_ms)
--- a/packages/pool/src/clayfield/pool/callers.py
+++ b/packages/pool/src/clayfield/pool/callers.py
@@ -9,17 +9,17 @@
 
 from clayfield.base import Clock
 from clayfield.pool.actions import (
-    AnswerCaller,
-    AnswerCancel,
-    AnswerState,
     EntryAction,
+    ReplyToCaller,
+    ReplyToCancel,
+    ReplyToStateRequest,
 )
 from clayfield.wire.cluster import (
-    AskState,
     CancelJob,
-    JobCancelled,
+    CancelReply,
     JobEnded,
-    StateTold,
+    JobStateReply,
+    JobStateRequest,
     SubmitJob,
 )
 from clayfield.wire.jobs import Job, Reason, Verdict
@@ -60,11 +60,11 @@
         """Epoch of the grant that names the holder."""
 
     @abc.abstractmethod
-    def tell_holder(self, message: Message) -> None:
+    def send_to_holder(self, message: Message) -> None:
         """Sends a message to the holder."""
 
     @abc.abstractmethod
-    def tell_workers(self) -> None:
+    def send_workers(self) -> None:
         """Sends all workers known here to the holder, once for each grant."""
 
 
@@ -73,17 +73,17 @@
 
     Attributes:
         job: the job.
-        waiters: numbers of the callers that wait.
+        request_ids: numbers of the callers that wait.
         arrived_ms: time of its arrival, in ms.
         sent_to: the holder that has the job, "" if it is to be sent.
         was_sent: whether it was ever sent to a holder.
     """
 
-    __slots__ = ("arrived_ms", "job", "sent_to", "waiters", "was_sent")
+    __slots__ = ("arrived_ms", "job", "sent_to", "request_ids", "was_sent")
 
-    def __init__(self, job: Job, waiter: int, arrived_ms: float):
+    def __init__(self, job: Job, request_id: int, arrived_ms: float):
         self.job = job
-        self.waiters = [waiter]
+        self.request_ids = [request_id]
         self.arrived_ms = arrived_ms
         self.sent_to = ""
         self.was_sent = False
@@ -93,24 +93,24 @@
     """A cancel or state request without a reply from the holder.
 
     Attributes:
-        waiter: number of the caller that waits.
+        request_id: number of the caller that waits.
         since_ms: time when it was sent, in ms.
         is_cancel: whether it is a cancel request; a state request otherwise.
     """
 
-    __slots__ = ("is_cancel", "since_ms", "waiter")
+    __slots__ = ("is_cancel", "since_ms", "request_id")
 
-    def __init__(self, waiter: int, since_ms: float, is_cancel: bool):
-        self.waiter = waiter
+    def __init__(self, request_id: int, since_ms: float, is_cancel: bool):
+        self.request_id = request_id
         self.since_ms = since_ms
         self.is_cancel = is_cancel
 
 
-class Callers:
+class PendingCallers:
     """Tracks the jobs and requests of one entry node's callers.
 
-    A caller is identified by a number, its *waiter*, chosen by the embedding
-    process.
+    A caller is identified by a number, its *request id*, chosen by the
+    embedding process.
 
     Attributes:
         actions: answers to callers; the entry node clears it.
@@ -129,7 +129,7 @@
         """Number of jobs whose callers wait here."""
         return len(self._pending)
 
-    def waiting_of(self, queue: str) -> int:
+    def pending_count(self, queue: str) -> int:
         """Returns how many jobs of a queue wait here, without kept jobs."""
         return sum(
             pending.job.queue == queue and not pending.job.is_kept
@@ -142,33 +142,33 @@
 
     # Jobs.
 
-    def submit(self, job: Job, waiter: int) -> None:
-        """Submits a job; an `AnswerCaller` action reports its result."""
+    def submit(self, job: Job, request_id: int) -> None:
+        """Submits a job; a `ReplyToCaller` action reports its result."""
         existing = self._pending.get(job.key)
         if existing:
-            existing.waiters.append(waiter)
+            existing.request_ids.append(request_id)
             return
-        pending = _Pending(job, waiter, self._clock.now_ms())
+        pending = _Pending(job, request_id, self._clock.now_ms())
         self._pending[job.key] = pending
         self._forward(pending)
 
-    def refuse(self, job: Job, waiter: int, reason: Reason) -> None:
+    def refuse(self, job: Job, request_id: int, reason: Reason) -> None:
         """Refuses a job immediately."""
         ended = JobEnded(job.key, Verdict.REFUSED, reason, NO_HOLDER_RETRY_MS)
-        self.actions.append(AnswerCaller(waiter, ended))
+        self.actions.append(ReplyToCaller(request_id, ended))
 
-    def leave(self, key: str, waiter: int) -> None:
+    def on_caller_disconnected(self, key: str, request_id: int) -> None:
         """Handles the disconnection of a caller.
 
         A job without any other caller is cancelled, unless it is kept.
         """
         pending = self._pending.get(key)
-        if pending is None or waiter not in pending.waiters:
+        if pending is None or request_id not in pending.request_ids:
             return
-        pending.waiters.remove(waiter)
-        if not pending.waiters and not pending.job.is_kept:
+        pending.request_ids.remove(request_id)
+        if not pending.request_ids and not pending.job.is_kept:
             del self._pending[key]
-            self._link.tell_holder(CancelJob(0, key))
+            self._link.send_to_holder(CancelJob(0, key))
 
     def on_job_ended(self, node: str, ended: JobEnded) -> None:
         """Handles the result of a job.
@@ -189,10 +189,10 @@
 
     def _answer(self, pending: _Pending, ended: JobEnded) -> None:
         del self._pending[ended.key]
-        for waiter in pending.waiters:
-            self.actions.append(AnswerCaller(waiter, ended))
+        for request_id in pending.request_ids:
+            self.actions.append(ReplyToCaller(request_id, ended))
 
-    def give_up_all(self, reason: Reason) -> None:
+    def fail_all(self, reason: Reason) -> None:
         """Ends all pending jobs as refused or abandoned."""
         for pending in list(self._pending.values()):
             self._fail(pending, reason)
@@ -206,7 +206,7 @@
 
     # Forwarding of jobs.
 
-    def forget_sent_to(self, node: str | None) -> None:
+    def mark_unsent(self, node: str | None) -> None:
         """Marks jobs to be sent again.
 
         Args:
@@ -216,7 +216,7 @@
             if node is None or pending.sent_to == node:
                 pending.sent_to = ""
 
-    def hand_over_all(self) -> None:
+    def forward_all(self) -> None:
         """Sends all jobs that were not sent to the current holder."""
         for pending in list(self._pending.values()):
             self._forward(pending)
@@ -239,31 +239,31 @@
             pending.was_sent,
         )
         if pending.was_sent:
-            link.tell_workers()
+            link.send_workers()
         pending.sent_to = link.holder
         pending.was_sent = True
-        link.tell_holder(submit)
+        link.send_to_holder(submit)
 
     # Cancel and state requests.
 
-    def cancel(self, key: str, waiter: int) -> None:
-        """Cancels a job of any caller; `AnswerCancel` reports the result."""
-        number = self._add_request(waiter, is_cancel=True)
+    def cancel(self, key: str, request_id: int) -> None:
+        """Cancels a job of any caller; `ReplyToCancel` reports the result."""
+        number = self._add_request(request_id, is_cancel=True)
         if number:
-            self._link.tell_holder(CancelJob(number, key))
+            self._link.send_to_holder(CancelJob(number, key))
 
-    def ask_state(self, key: str, waiter: int) -> None:
-        """Requests the state of a kept job; `AnswerState` reports it."""
-        number = self._add_request(waiter, is_cancel=False)
+    def request_state(self, key: str, request_id: int) -> None:
+        """Requests a kept job's state; `ReplyToStateRequest` reports it."""
+        number = self._add_request(request_id, is_cancel=False)
         if number:
-            self._link.tell_holder(AskState(number, key))
+            self._link.send_to_holder(JobStateRequest(number, key))
 
-    def _add_request(self, waiter: int, is_cancel: bool) -> int:
+    def _add_request(self, request_id: int, is_cancel: bool) -> int:
         """Records a request; returns its number, 0 without a reachable holder.
 
         Without one the caller is answered at once that the result is unknown.
         """
-        pending_request = _Request(waiter, self._clock.now_ms(), is_cancel)
+        pending_request = _Request(request_id, self._clock.now_ms(), is_cancel)
         if not self._link.is_holder_reachable:
             self._answer_unknown(pending_request)
             return 0
@@ -271,26 +271,28 @@
         self._requests[self._last_request] = pending_request
         return self._last_request
 
-    def on_cancelled(self, reply: JobCancelled) -> None:
+    def on_cancel_reply(self, reply: CancelReply) -> None:
         """Handles the holder's reply to a cancel request."""
         pending_request = self._requests.pop(reply.request, None)
         if pending_request:
             self.actions.append(
-                AnswerCancel(pending_request.waiter, reply.is_known)
+                ReplyToCancel(pending_request.request_id, reply.is_found)
             )
 
-    def on_state(self, reply: StateTold) -> None:
+    def on_state_reply(self, reply: JobStateReply) -> None:
         """Handles the holder's reply to a state request."""
         pending_request = self._requests.pop(reply.request, None)
         if pending_request:
-            self.actions.append(AnswerState(pending_request.waiter, reply))
+            self.actions.append(
+                ReplyToStateRequest(pending_request.request_id, reply)
+            )
 
     def _answer_unknown(self, request: _Request) -> None:
         """Answers a caller that the result of its request is unknown."""
         if request.is_cancel:
-            self.actions.append(AnswerCancel(request.waiter, None))
+            self.actions.append(ReplyToCancel(request.request_id, None))
         else:
-            self.actions.append(AnswerState(request.waiter, None))
+            self.actions.append(ReplyToStateRequest(request.request_id, None))
 
     # Periodic work.
 
--- a/packages/pool/src/clayfield/pool/orders.py
+++ b/packages/pool/src/clayfield/pool/commands.py
@@ -10,7 +10,7 @@
 from clayfield.wire.messages import Message
 
 
-class OrderResult(enum.Enum):
+class CommandResult(enum.Enum):
     """The result of a command to a worker.
 
     DONE: executed. NO_ROOM: the free capacity does not suffice. OLD_RUN: the
@@ -52,36 +52,43 @@
     ALONE = "alone"
 
 
-class RunningRow:
+class RunningRun:
     """A run that a worker lists as running.
 
     Attributes:
         task_id: identity of the task.
         number: run number.
-        percent: share of full speed at which the run may work, in percent.
-        saved: the latest checkpoint of the run, "" for none.
-        figure: tail latency of a latency-sensitive run, in ms; None if it is
-            not reported.
+        speed_percent: share of full speed at which the run may work, in
+            percent.
+        checkpoint: the latest checkpoint of the run, "" for none.
+        tail_latency_ms: tail latency of a latency-sensitive run, in ms; None if
+            it is not reported.
     """
 
-    __slots__ = ("figure", "number", "percent", "saved", "task_id")
+    __slots__ = (
+        "tail_latency_ms",
+        "number",
+        "speed_percent",
+        "checkpoint",
+        "task_id",
+    )
 
     def __init__(
         self,
         task_id: TaskId,
         number: int,
-        percent: int,
-        saved: str = "",
-        figure: float | None = None,
+        speed_percent: int,
+        checkpoint: str = "",
+        tail_latency_ms: float | None = None,
     ):
         self.task_id = task_id
         self.number = number
-        self.percent = percent
-        self.saved = saved
-        self.figure = figure
+        self.speed_percent = speed_percent
+        self.checkpoint = checkpoint
+        self.tail_latency_ms = tail_latency_ms
 
 
-class EndedRow:
+class EndedRun:
     """A run that a worker lists as ended.
 
     Attributes:
@@ -90,10 +97,10 @@
         task_id: identity of the task.
         number: run number.
         kind: how the run ended.
-        saved: the latest checkpoint of the run, "" for none.
+        checkpoint: the latest checkpoint of the run, "" for none.
     """
 
-    __slots__ = ("kind", "number", "saved", "sequence", "task_id")
+    __slots__ = ("kind", "number", "checkpoint", "sequence", "task_id")
 
     def __init__(
         self,
@@ -101,16 +108,16 @@
         task_id: TaskId,
         number: int,
         kind: EndKind,
-        saved: str = "",
+        checkpoint: str = "",
     ):
         self.sequence = sequence
         self.task_id = task_id
         self.number = number
         self.kind = kind
-        self.saved = saved
+        self.checkpoint = checkpoint
 
 
-class OrderAnswer:
+class CommandReply:
     """A worker's reply to a start or a stop.
 
     Attributes:
@@ -121,12 +128,12 @@
 
     __slots__ = ("clock_ms", "result")
 
-    def __init__(self, result: OrderResult, clock_ms: float | None = None):
+    def __init__(self, result: CommandResult, clock_ms: float | None = None):
         self.result = result
         self.clock_ms = clock_ms
 
 
-class HoldAnswer:
+class PollReply:
     """A worker's reply to a poll.
 
     Attributes:
@@ -141,10 +148,10 @@
 
     def __init__(
         self,
-        result: OrderResult,
+        result: CommandResult,
         clock_ms: float | None = None,
-        running: list[RunningRow] | None = None,
-        ended: list[EndedRow] | None = None,
+        running: list[RunningRun] | None = None,
+        ended: list[EndedRun] | None = None,
     ):
         self.result = result
         self.clock_ms = clock_ms
@@ -231,7 +238,7 @@
         self.fence = fence
 
 
-class PaceRun:
+class ThrottleRun:
     """Limits the speed of a batch run.
 
     Attributes:
@@ -239,11 +246,19 @@
         address: address of the worker.
         task_id: identity of the task.
         number: run number.
-        percent: share of full speed at which the run may work, in percent.
+        speed_percent: share of full speed at which the run may work, in
+            percent.
         fence: fencing token of the sender.
     """
 
-    __slots__ = ("address", "fence", "number", "percent", "task_id", "worker")
+    __slots__ = (
+        "address",
+        "fence",
+        "number",
+        "speed_percent",
+        "task_id",
+        "worker",
+    )
 
     def __init__(
         self,
@@ -251,38 +266,38 @@
         address: str,
         task_id: TaskId,
         number: int,
-        percent: int,
+        speed_percent: int,
         fence: int,
     ):
         self.worker = worker
         self.address = address
         self.task_id = task_id
         self.number = number
-        self.percent = percent
+        self.speed_percent = speed_percent
         self.fence = fence
 
 
-class HoldWorker:
+class PollWorker:
     """Polls a worker: renews its lease and gets its running and ended runs.
 
     Attributes:
         worker: name of the worker.
         address: address of the worker.
-        seen_upto: sequence number up to which the worker may discard ends.
+        acked_sequence: sequence number up to which the worker may discard ends.
         wait_ms: how long the worker may delay its reply until a run ends, in
             ms.
         lease_until_ms: end of the lease as in `StartRun`; None to leave the
             lease as it is.
         fence: fencing token of the sender.
-        call: number of the poll.
+        poll_id: number of the poll.
     """
 
     __slots__ = (
         "address",
-        "call",
+        "poll_id",
         "fence",
         "lease_until_ms",
-        "seen_upto",
+        "acked_sequence",
         "wait_ms",
         "worker",
     )
@@ -291,72 +306,77 @@
         self,
         worker: str,
         address: str,
-        seen_upto: int,
+        acked_sequence: int,
         wait_ms: int,
         lease_until_ms: float | None,
         fence: int,
-        call: int,
+        poll_id: int,
     ):
         self.worker = worker
         self.address = address
-        self.seen_upto = seen_upto
+        self.acked_sequence = acked_sequence
         self.wait_ms = wait_ms
         self.lease_until_ms = lease_until_ms
         self.fence = fence
-        self.call = call
+        self.poll_id = poll_id
 
 
-class AskAdvisor:
+class RequestAdvice:
     """Requests tickets for a step from the advisor.
 
     The advisor is an outside service. Its tickets state which workers may run
     a step of an advised job.
 
     Attributes:
-        call: number of the request.
+        request_id: number of the request.
         job: key of the job.
-        time: number of the schedule's iteration.
+        iteration: number of the schedule's iteration.
         step: number of the step.
-        workers: names of the workers that the request is about.
+        worker_names: names of the workers that the request is about.
     """
 
-    __slots__ = ("call", "job", "step", "time", "workers")
+    __slots__ = ("request_id", "job", "step", "iteration", "worker_names")
 
     def __init__(
-        self, call: int, job: str, time: int, step: int, workers: list[str]
+        self,
+        request_id: int,
+        job: str,
+        iteration: int,
+        step: int,
+        worker_names: list[str],
     ):
-        self.call = call
+        self.request_id = request_id
         self.job = job
-        self.time = time
+        self.iteration = iteration
         self.step = step
-        self.workers = workers
+        self.worker_names = worker_names
 
 
 class Advice:
     """The result of a request to the advisor.
 
     Attributes:
-        is_answer: whether the advisor replied; False if it was busy or
+        is_reply: whether the advisor replied; False if it was busy or
             unresponsive.
         tickets: tickets by name of the worker; a worker without one may not
             run the step.
         valid_ms: how long the tickets are valid, in ms.
     """
 
-    __slots__ = ("is_answer", "tickets", "valid_ms")
+    __slots__ = ("is_reply", "tickets", "valid_ms")
 
     def __init__(
         self,
-        is_answer: bool,
+        is_reply: bool,
         tickets: dict[str, str] | None = None,
         valid_ms: float = 0.0,
     ):
-        self.is_answer = is_answer
+        self.is_reply = is_reply
         self.tickets = tickets or {}
         self.valid_ms = valid_ms
 
 
-class TellEntry:
+class SendToEntry:
     """Sends a message to a node.
 
     Attributes:
@@ -371,4 +391,6 @@
         self.message = message
 
 
-PoolAction = StartRun | StopRun | PaceRun | HoldWorker | AskAdvisor | TellEntry
+PoolAction = (
+    StartRun | StopRun | ThrottleRun | PollWorker | RequestAdvice | SendToEntry
+)
--- a/packages/pool/src/clayfield/pool/dispatcher.py
+++ b/packages/pool/src/clayfield/pool/dispatcher.py
@@ -11,33 +11,24 @@
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
 from clayfield.pool.admission import Admission
-from clayfield.pool.advice import Advisor
-from clayfield.pool.fleet import (
-    Fleet,
-    FleetListener,
-    RunEnd,
-)
-from clayfield.pool.intake import MIN_RETRY_MS, Intake
-from clayfield.pool.jobtable import JobTable
-from clayfield.pool.kept import RUNS_AN_EPOCH, KeptJobs
-from clayfield.pool.ledger import JobLedger
-from clayfield.pool.orders import (
+from clayfield.pool.commands import (
     Advice,
-    EndedRow,
+    EndedRun,
     EndKind,
     PoolAction,
-    TellEntry,
+    SendToEntry,
 )
-from clayfield.pool.placement import RoomSearch
+from clayfield.pool.fleet import Fleet, FleetListener, RunOutcome
+from clayfield.pool.intake import MIN_RETRY_MS, Intake
+from clayfield.pool.job_store_client import JobStoreClient
+from clayfield.pool.job_table import JobTable
+from clayfield.pool.kept import RUNS_PER_EPOCH, KeptJobs
+from clayfield.pool.placement import WorkerSelector
 from clayfield.pool.tasks import OpenJob, Run, RunState, Task, TaskState
+from clayfield.pool.tickets import TicketCache
 from clayfield.pool.timing import PoolTiming
 from clayfield.pool.worker import Worker
-from clayfield.wire.cluster import (
-    CancelJob,
-    JobCancelled,
-    JobEnded,
-    SubmitJob,
-)
+from clayfield.wire.cluster import CancelJob, CancelReply, JobEnded, SubmitJob
 from clayfield.wire.jobs import Reason, Verdict, WorkerInfo
 from clayfield.wire.messages import Message
 
@@ -57,8 +48,8 @@
 
     Attributes:
         fleet: the workers and the runs on them.
-        advisor: tickets that permit workers to run advised jobs.
-        kept: the kept (durable) jobs; None on a standby, which runs none.
+        tickets: tickets that permit workers to run advised jobs.
+        kept_jobs: the kept (durable) jobs; None on a standby, which runs none.
         is_fenced: whether a worker has rejected a request because it has seen
             a higher fencing token than this holder's.
     """
@@ -68,8 +59,8 @@
         clock: Clock,
         timing: PoolTiming,
         fence: int,
-        ledger: JobLedger | None = None,
-        listened_since_ms: float = 0.0,
+        store: JobStoreClient | None = None,
+        listening_since_ms: float = 0.0,
     ):
         """Creates a dispatcher without workers or jobs.
 
@@ -77,15 +68,15 @@
             clock: source of the current time.
             timing: lease and stop durations of the workers.
             fence: fencing token sent with every request to a worker.
-            ledger: client of the job store; None on a standby.
-            listened_since_ms: time since when this node has received the
+            store: client of the job store; None on a standby.
+            listening_since_ms: time since when this node has received the
                 heartbeats of workers, in ms.
         """
         self._clock = clock
-        is_standby = ledger is None
+        is_standby = store is None
         self.fleet = Fleet(clock, timing, self, fence, is_standby)
         self.is_fenced = False
-        self.advisor = Advisor(clock)
+        self.tickets = TicketCache(clock)
         self._jobs = JobTable()
         self._admission = Admission()
         self._intake = Intake(
@@ -93,20 +84,20 @@
             self.fleet,
             self._jobs,
             self._admission,
-            self.advisor,
+            self.tickets,
             self._refuse,
         )
-        self.kept: KeptJobs | None = None
-        if ledger:
-            self.kept = KeptJobs(
+        self.kept_jobs: KeptJobs | None = None
+        if store:
+            self.kept_jobs = KeptJobs(
                 clock,
-                ledger,
+                store,
                 self.fleet,
                 self._jobs,
                 self._admission,
                 self._intake.admit,
                 self._finish,
-                listened_since_ms,
+                listening_since_ms,
             )
         self._unresolved: dict[str, tuple[float, OpenJob]] = {}
         self._results: dict[str, tuple[float, JobEnded]] = {}
@@ -120,23 +111,23 @@
 
     def take_actions(self) -> list[PoolAction]:
         """Returns the actions collected since the last call."""
-        actions = self.fleet.actions + self.advisor.actions
+        actions = self.fleet.actions + self.tickets.actions
         self.fleet.actions.clear()
-        self.advisor.actions.clear()
-        if self.kept:
-            self.kept.ledger.flush()
-            actions += self.kept.ledger.actions
-            self.kept.ledger.actions.clear()
+        self.tickets.actions.clear()
+        if self.kept_jobs:
+            self.kept_jobs.store.flush()
+            actions += self.kept_jobs.store.actions
+            self.kept_jobs.store.actions.clear()
         return actions
 
     def _send(self, entry: str, message: Message) -> None:
-        self.fleet.actions.append(TellEntry(entry, message))
+        self.fleet.actions.append(SendToEntry(entry, message))
 
     # Events.
 
-    def on_worker(self, info: WorkerInfo) -> None:
+    def on_worker_heartbeat(self, info: WorkerInfo) -> None:
         """Handles a worker's heartbeat."""
-        self.fleet.on_worker(info)
+        self.fleet.on_worker_heartbeat(info)
         self._is_changed = True
 
     def on_submit(self, entry: str, submit: SubmitJob) -> None:
@@ -158,7 +149,9 @@
             self._send(entry, result[1])
             return
         arrived_ms = self._clock.now_ms() - submit.age_ms
-        first_run = 1 + (submit.epoch * RUNS_AN_EPOCH if submit.was_sent else 0)
+        first_run = 1 + (
+            submit.epoch * RUNS_PER_EPOCH if submit.was_sent else 0
+        )
         open_job = OpenJob(submit.job, entry, arrived_ms, first_run)
         self._jobs.add(open_job)
         if submit.was_sent:
@@ -172,8 +165,8 @@
 
     def _on_submit_kept(self, entry: str, submit: SubmitJob) -> None:
         """Passes on a kept job, or refuses it on a standby."""
-        if self.kept:
-            self.kept.on_submit(entry, submit)
+        if self.kept_jobs:
+            self.kept_jobs.on_submit(entry, submit)
             return
         refused = JobEnded(
             submit.job.key, Verdict.REFUSED, Reason.NO_HOLDER, MIN_RETRY_MS
@@ -186,57 +179,57 @@
         if open_job and not open_job.job.is_kept:
             self._finish(open_job, Verdict.CANCELLED, Reason.CANCELLED)
             if cancel.request:
-                self._send(entry, JobCancelled(cancel.request, True))
-        elif self.kept:
-            self.kept.on_cancel(entry, cancel)
+                self._send(entry, CancelReply(cancel.request, True))
+        elif self.kept_jobs:
+            self.kept_jobs.on_cancel(entry, cancel)
         elif cancel.request:
-            self._send(entry, JobCancelled(cancel.request, None))
+            self._send(entry, CancelReply(cancel.request, None))
 
-    def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
+    def on_inherited_end(self, row: EndedRun, worker: Worker) -> None:
         """Handles the end of a run that an earlier holder started."""
-        if self.kept:
-            self.kept.on_foreign_end(row, worker)
+        if self.kept_jobs:
+            self.kept_jobs.on_inherited_end(row, worker)
         else:
-            self.fleet.leave_to_holder(row, worker)
+            self.fleet.defer_end_to_holder(row, worker)
 
-    def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
+    def on_run_end(self, run: Run, end: RunOutcome, worker: Worker) -> None:
         """Handles the end of a run and updates its task and job."""
         self._is_changed = True
         task = run.task
         if task is None:
             return
         now_ms = self._clock.now_ms()
-        if not task.step.is_lasting:
+        if not task.step.is_long_running:
             self._record_run(run, end, worker, now_ms)
         if task.run is not run:
             return
         task.run = None
-        task.keep_progress(run)
+        task.update_checkpoint(run)
         if task.job.is_ended:
             return
-        if task.step.is_lasting:
+        if task.step.is_long_running:
             self._restart(task, worker)
             return
-        if end is not RunEnd.DONE:
+        if end is not RunOutcome.DONE:
             self._stop_all(task.job.runs_of_gang(task))
         if task.job.job.is_kept:
-            self.kept.on_run_end(run, end, worker)
+            self.kept_jobs.on_run_end(run, end, worker)
         elif task.state is not TaskState.DONE:
             self._apply_end(run, end, worker, now_ms)
 
     def _restart(self, task: Task, worker: Worker) -> None:
         """Enqueues a long-running task again, on another worker if possible."""
         task.state = TaskState.WAITING
-        task.avoided = {worker.name}
+        task.avoided_workers = {worker.name}
         self._jobs.enqueue(task.job)
 
     def _apply_end(
-        self, run: Run, end: RunEnd, worker: Worker, now_ms: float
+        self, run: Run, end: RunOutcome, worker: Worker, now_ms: float
     ) -> None:
         """Updates a task of a job that is not kept after its run ended."""
         task = run.task
         open_job = task.job
-        if end is RunEnd.DONE:
+        if end is RunOutcome.DONE:
             open_job.note_done(task)
             if open_job.is_done:
                 self._admission.on_completed(open_job, now_ms)
@@ -244,8 +237,8 @@
             else:
                 self._jobs.enqueue(open_job)
             return
-        if end is RunEnd.FAILED:
-            task.avoided.add(worker.name)
+        if end is RunOutcome.FAILED:
+            task.avoided_workers.add(worker.name)
             counted_task = open_job.note_failure(task, run.number)
             if counted_task.failures >= open_job.job.max_attempts:
                 self._finish(open_job, Verdict.FAILED, Reason.ATTEMPTS)
@@ -259,48 +252,51 @@
                 self.fleet.stop(run)
 
     def _record_run(
-        self, run: Run, end: RunEnd, worker: Worker, now_ms: float
+        self, run: Run, end: RunOutcome, worker: Worker, now_ms: float
     ) -> None:
         """Updates the worker's health and speed and the queue's estimates."""
-        if end is RunEnd.FAILED:
+        if end is RunOutcome.FAILED:
             worker.on_failure(run.task_id.job, now_ms)
-        if end is not RunEnd.DONE or run.answered_ms is None:
+        if end is not RunOutcome.DONE or run.confirmed_ms is None:
             return
-        duration_ms = now_ms - run.answered_ms
+        duration_ms = now_ms - run.confirmed_ms
         worker.on_success(duration_ms, run.work_ms)
-        if run.is_stuck(now_ms):
+        if run.is_hung(now_ms):
             # Its duration reflects a slow worker, not the tasks of its queue.
             return
         run.task.job.note_run(run.task_id.step, duration_ms * worker.speed)
-        self._admission.learn(
+        self._admission.on_task_done(
             run.task.job.job.queue,
             run.task.step.estimate_ms,
             duration_ms * worker.speed,
         )
 
-    def on_advice(self, call: int, advice: Advice) -> None:
+    def on_advice(self, request_id: int, advice: Advice) -> None:
         """Handles the advisor's reply to a ticket request."""
-        self.advisor.on_advice(call, advice)
+        self.tickets.on_advice(request_id, advice)
         self._is_changed = True
 
     def on_ticket_rejected(self, run: Run, worker: Worker) -> None:
         """Handles a worker's rejection of an advisor's ticket."""
         if run.task is not None:
-            self.advisor.on_rejected(run.task, worker.name)
+            self.tickets.on_rejected(run.task, worker.name)
 
     def on_fenced(self, worker: Worker) -> None:
         """Handles a worker's rejection of this holder's fencing token."""
         self.is_fenced = True
 
-    def follows(self, epoch: int) -> bool:
+    def is_next_epoch(self, epoch: int) -> bool:
         """Returns whether an epoch directly follows this holder's epoch.
 
         If so, no other node was the holder in between. A standby returns
         False.
         """
-        return self.kept is not None and self.kept.ledger.epoch + 1 == epoch
+        return (
+            self.kept_jobs is not None
+            and self.kept_jobs.store.epoch + 1 == epoch
+        )
 
-    def raise_fence(self, fence: int, epoch: int) -> None:
+    def renew_grant(self, fence: int, epoch: int) -> None:
         """Continues under this node's next grant.
 
         Args:
@@ -309,28 +305,28 @@
         """
         self.fleet.fence = fence
         self.is_fenced = False
-        if self.kept:
-            self.kept.ledger.raise_epoch(epoch)
+        if self.kept_jobs:
+            self.kept_jobs.store.renew_epoch(epoch)
         for worker in self.fleet.workers.values():
-            worker.next_hold_ms = self._clock.now_ms()
+            worker.next_poll_ms = self._clock.now_ms()
 
     # Periodic work.
 
     def tick(self) -> None:
         """Runs the periodic work: polls, timeouts, stops and admission."""
         now_ms = self._clock.now_ms()
-        if self.kept:
-            self.fleet.confirmed_ms = self.kept.ledger.confirmed_ms
+        if self.kept_jobs:
+            self.fleet.sole_holder_until_ms = self.kept_jobs.store.confirmed_ms
         self.fleet.tick()
         self._resolve_inherited(now_ms)
-        if self.kept:
-            self.kept.tick()
+        if self.kept_jobs:
+            self.kept_jobs.tick()
         for open_job in list(self._jobs.by_key.values()):
             has_timed_out = now_ms >= open_job.timeout_at_ms
             if has_timed_out and not open_job.job.is_kept:
                 self._abort(open_job, Reason.TIMED_OUT)
         self._jobs.release_due(self._clock.wall_ms())
-        self._jobs.turn_late(now_ms)
+        self._jobs.mark_late(now_ms)
         self._move_hung_runs(now_ms)
         self._intake.review()
         for key, (ended_ms, _) in list(self._results.items()):
@@ -351,16 +347,16 @@
                 # durations don't identify the slow worker.
                 is_exempt = (
                     run.task is None
-                    or run.task.was_moved
+                    or run.task.was_relocated
                     or run.task.step.is_gang
                 )
                 is_running = run.state is RunState.RUNNING
-                if is_exempt or not is_running or not run.is_stuck(now_ms):
+                if is_exempt or not is_running or not run.is_hung(now_ms):
                     continue
-                run.task.was_moved = True
-                run.task.avoided.add(worker.name)
-                elapsed_ms = now_ms - run.answered_ms
-                worker.on_stuck(elapsed_ms, run.work_ms, now_ms)
+                run.task.was_relocated = True
+                run.task.avoided_workers.add(worker.name)
+                elapsed_ms = now_ms - run.confirmed_ms
+                worker.on_hung(elapsed_ms, run.work_ms, now_ms)
                 self.fleet.stop(run)
 
     def _resolve_inherited(self, now_ms: float) -> None:
@@ -373,9 +369,9 @@
             return
         if self._must_poll:
             self._must_poll = False
-            self.fleet.ask_all()
+            self.fleet.poll_all()
         for since_ms, open_job in list(self._unresolved.values()):
-            if self.fleet.is_adopted_since(since_ms):
+            if self.fleet.is_synced_since(since_ms):
                 del self._unresolved[open_job.job.key]
                 self._claim_runs(open_job)
             elif now_ms - since_ms >= SYNC_TIMEOUT_MS:
@@ -384,21 +380,21 @@
     def _claim_runs(self, open_job: OpenJob) -> None:
         """Assigns to a job's tasks their inherited runs and recorded ends."""
         for task in open_job.all_tasks():
-            if self.fleet.claim(
+            if self.fleet.claim_inherited_run(
                 task, self._admission.expected_ms(open_job.job, task)
             ):
                 task.state = TaskState.PLACED
-                open_job.is_offered = True
-            elif self.fleet.past_end(task.id) is EndKind.DONE:
+                open_job.is_started = True
+            elif self.fleet.recorded_end(task.id) is EndKind.DONE:
                 task.state = TaskState.DONE
         open_job.is_placeable = True
-        self._stop_all(open_job.partial_gangs())
+        self._stop_all(open_job.runs_of_partial_gangs())
         if open_job.is_done:
             self._finish(open_job, Verdict.COMPLETED, Reason.NONE)
 
     # Placement.
 
-    def place(self) -> None:
+    def place_tasks(self) -> None:
         """Starts the waiting tasks that fit a worker now.
 
         Does nothing unless an event since the last call may have freed
@@ -410,9 +406,9 @@
         self._jobs.is_changed = False
         now_ms = self._clock.now_ms()
         workers = self.fleet.workers.values()
-        selector = RoomSearch(workers, self.advisor, now_ms)
+        selector = WorkerSelector(workers, self.tickets, now_ms)
         misses = 0
-        for open_job in self._jobs.waiting():
+        for open_job in self._jobs.waiting_jobs():
             if not open_job.is_placeable or not self._may_place(open_job):
                 continue
             misses = 0 if self._place_job(open_job, selector) else misses + 1
@@ -420,11 +416,11 @@
                 break
 
     def _may_place(self, open_job: OpenJob) -> bool:
-        return not open_job.job.is_kept or self.kept.may_place(open_job)
+        return not open_job.job.is_kept or self.kept_jobs.may_place(open_job)
 
-    def _place_job(self, open_job: OpenJob, selector: RoomSearch) -> bool:
+    def _place_job(self, open_job: OpenJob, selector: WorkerSelector) -> bool:
         """Starts the tasks of a job that fit; returns whether one started."""
-        steps = open_job.waiting_steps()
+        steps = open_job.ready_tasks()
         started = 0
         for tasks in steps:
             if tasks[0].step.is_gang:
@@ -435,7 +431,7 @@
             self._jobs.dequeue(open_job)
         return started > 0
 
-    def _place_each(self, tasks: list[Task], selector: RoomSearch) -> int:
+    def _place_each(self, tasks: list[Task], selector: WorkerSelector) -> int:
         started = 0
         for task in tasks:
             worker = selector.find(task)
@@ -444,9 +440,9 @@
                 started += 1
         return started
 
-    def _place_gang(self, tasks: list[Task], selector: RoomSearch) -> int:
+    def _place_gang(self, tasks: list[Task], selector: WorkerSelector) -> int:
         """Starts all tasks of a gang with the same run number, or none."""
-        workers = selector.find_together(tasks)
+        workers = selector.find_for_gang(tasks)
         if workers is None:
             return 0
         last_run = max(task.last_run for task in tasks)
@@ -461,12 +457,12 @@
         expected_ms = self._admission.expected_ms(open_job.job, task)
         ticket = ""
         if open_job.job.is_advised:
-            ticket = self.advisor.ticket(task, worker.name)
+            ticket = self.tickets.ticket(task, worker.name)
         self.fleet.start(worker, task, expected_ms, ticket)
         task.state = TaskState.PLACED
-        open_job.is_offered = True
-        open_job.starts += 1
-        open_job.placed_on.add(worker.name)
+        open_job.is_started = True
+        open_job.start_count += 1
+        open_job.used_workers.add(worker.name)
 
     # Ends of jobs.
 
@@ -477,7 +473,7 @@
 
     def _abort(self, open_job: OpenJob, reason: Reason) -> None:
         """Ends a job: refused if surely no task was started, else abandoned."""
-        is_unstarted = not open_job.is_offered and open_job.job.key not in (
+        is_unstarted = not open_job.is_started and open_job.job.key not in (
             self._unresolved
         )
         verdict = Verdict.REFUSED if is_unstarted else Verdict.ABANDONED
@@ -494,7 +490,7 @@
         key = open_job.job.key
         open_job.is_ended = True
         self._jobs.remove(key)
-        self.advisor.forget(open_job)
+        self.tickets.forget_job(open_job)
         self._unresolved.pop(key, None)
         self._log_end(open_job, verdict, reason)
         ended = JobEnded(key, verdict, reason, retry_after_ms)
@@ -520,8 +516,8 @@
                 self._admission.objective_ms(open_job.job)
             ),
             forecast_ms=_round_finite(open_job.forecast_ms),
-            starts=open_job.starts,
-            workers=sorted(open_job.placed_on),
+            starts=open_job.start_count,
+            workers=sorted(open_job.used_workers),
             open_jobs=len(self._jobs.by_key),
             fence=self.fleet.fence,
         )
--- a/packages/pool/src/clayfield/pool/entry.py
+++ b/packages/pool/src/clayfield/pool/entry_node.py
@@ -8,33 +8,33 @@
 """
 
 from clayfield.base import Clock
-from clayfield.pool.actions import Dial, EntryAction
-from clayfield.pool.callers import Callers, HolderLink
+from clayfield.pool.actions import ConnectNode, EntryAction
+from clayfield.pool.callers import HolderLink, PendingCallers
+from clayfield.pool.commands import Advice, CommandReply, PollReply, SendToEntry
 from clayfield.pool.dispatcher import Dispatcher
+from clayfield.pool.job_store_client import JobStoreClient
 from clayfield.pool.kept import KeptJobs
-from clayfield.pool.ledger import JobLedger
-from clayfield.pool.orders import Advice, HoldAnswer, OrderAnswer, TellEntry
 from clayfield.pool.role import CONTROL_ROLE, ENTRY_ROLE, Role
 from clayfield.pool.routing import Routes
 from clayfield.pool.tasks import TaskId
 from clayfield.pool.timing import PoolTiming
 from clayfield.wire.cluster import (
-    AskState,
     CancelJob,
+    CancelReply,
     ConfigPush,
     EntryStatus,
     Grant,
-    JobCancelled,
     JobEnded,
+    JobStateReply,
+    JobStateRequest,
     NodeGreeting,
     QueueCounts,
-    StateTold,
     SubmitJob,
     WorkerLeft,
     WorkersPush,
 )
+from clayfield.wire.job_store import HolderLease, JobsLoaded, JobsWritten
 from clayfield.wire.jobs import Job, Reason, RoutingTable, WorkerInfo
-from clayfield.wire.ledger import HolderLease, JobsLoaded, JobsWritten
 from clayfield.wire.messages import Message
 
 # Interval between status messages.
@@ -44,7 +44,7 @@
 EARLY_SUBMIT_MS = 1000.0
 
 
-class Entry(HolderLink):
+class EntryNode(HolderLink):
     """The state machine of one entry node.
 
     It does no I/O: it is fed events and a clock, and returns the actions to
@@ -58,17 +58,17 @@
         dispatcher: schedules workers; None unless this node is the holder or
             the active standby.
         is_stopping: whether a planned shutdown has started.
-        is_refusing: whether it refuses new jobs.
+        rejects_jobs: whether it refuses new jobs.
     """
 
     def __init__(self, node: str, hall: str, clock: Clock, timing: PoolTiming):
         self.node = node
         self.hall = hall
         self.routes = Routes()
-        self.callers = Callers(clock, self)
+        self.callers = PendingCallers(clock, self)
         self.dispatcher: Dispatcher | None = None
         self.is_stopping = False
-        self.is_refusing = False
+        self.rejects_jobs = False
         self._clock = clock
         self._timing = timing
         self._role = Role(node, hall, clock)
@@ -76,7 +76,7 @@
         self._open_nodes: dict[str, NodeGreeting] = {}
         self._workers: dict[str, WorkerInfo] = {}
         self._kept_counts: dict[str, int] = {}
-        self._serves_kept = False
+        self._has_kept_jobs = False
         self._early_submits: list[tuple[float, str, SubmitJob]] = []
         self._actions: list[EntryAction] = []
         self._next_status_ms = 0.0
@@ -132,43 +132,43 @@
         """Number of jobs whose callers wait here."""
         return self.callers.open_jobs
 
-    def waiting_of(self, queue: str) -> int:
+    def pending_count(self, queue: str) -> int:
         """Returns how many jobs of a queue wait.
 
         Counts the kept jobs of all entry nodes and the other jobs of this one.
         """
         kept = self._kept_counts.get(queue, 0)
-        return kept + self.callers.waiting_of(queue)
+        return kept + self.callers.pending_count(queue)
 
     # Callers.
 
-    def submit(self, job: Job, waiter: int) -> None:
-        """Submits a caller's job; an `AnswerCaller` action reports its result.
+    def submit(self, job: Job, request_id: int) -> None:
+        """Submits a caller's job; a `ReplyToCaller` action reports its result.
 
         Args:
             job: the job.
-            waiter: number of the caller.
+            request_id: number of the caller.
         """
-        if self.is_refusing and not self.callers.has_job(job.key):
-            self.callers.refuse(job, waiter, Reason.STOPPING)
+        if self.rejects_jobs and not self.callers.has_job(job.key):
+            self.callers.refuse(job, request_id, Reason.STOPPING)
         else:
-            self.callers.submit(job, waiter)
+            self.callers.submit(job, request_id)
 
-    def give_up_all(self) -> None:
+    def fail_all(self) -> None:
         """Ends all pending jobs because the process stops."""
-        self.callers.give_up_all(Reason.STOPPING)
+        self.callers.fail_all(Reason.STOPPING)
 
     # The holder.
 
-    def tell_holder(self, message: Message) -> None:
+    def send_to_holder(self, message: Message) -> None:
         """Sends a message to the holder."""
         holder = self.holder
         if holder == self.node:
             self.on_message(self.node, message)
         elif holder:
-            self._actions.append(TellEntry(holder, message))
+            self._actions.append(SendToEntry(holder, message))
 
-    def tell_workers(self) -> None:
+    def send_workers(self) -> None:
         """Sends all workers known here to the holder, once for each grant.
 
         A new holder may lack workers whose heartbeats only the control node
@@ -180,22 +180,22 @@
             return
         self._workers_sent_to = recipient
         infos = tuple(self._workers.values())
-        self._actions.append(TellEntry(self.holder, WorkersPush(infos)))
+        self._actions.append(SendToEntry(self.holder, WorkersPush(infos)))
 
     # Nodes.
 
-    def on_open(self, greeting: NodeGreeting) -> None:
+    def on_connected(self, greeting: NodeGreeting) -> None:
         """Handles a new connection to a node."""
         self._open_nodes[greeting.node] = greeting
-        self._role.note_outside(self._open_nodes.values())
+        self._role.update_reachability(self._open_nodes.values())
         if greeting.node == self.holder:
-            self.callers.hand_over_all()
+            self.callers.forward_all()
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the loss of the connection to a node."""
-        self._role.note_outside(self._open_nodes.values())
+        self._role.update_reachability(self._open_nodes.values())
         self._open_nodes.pop(node, None)
-        self.callers.forget_sent_to(node)
+        self.callers.mark_unsent(node)
 
     def on_message(self, node: str, message: Message) -> None:
         """Handles a message from a node."""
@@ -206,7 +206,7 @@
                 for info in workers:
                     self._on_worker_heartbeat(info)
             case WorkerLeft(name=name):
-                self._on_worker_left(name)
+                self._on_worker_removed(name)
             case SubmitJob():
                 self._on_submit(node, message)
             case CancelJob():
@@ -214,16 +214,20 @@
                     self.dispatcher.on_cancel(node, message)
             case JobEnded():
                 self.callers.on_job_ended(node, message)
-            case JobCancelled():
-                self.callers.on_cancelled(message)
-            case StateTold():
-                self.callers.on_state(message)
+            case CancelReply():
+                self.callers.on_cancel_reply(message)
+            case JobStateReply():
+                self.callers.on_state_reply(message)
             case QueueCounts(waiting=waiting):
                 self._kept_counts = waiting
-                self._serves_kept = True
-            case AskState() | HolderLease() | JobsLoaded() | JobsWritten():
-                if self.dispatcher and self.dispatcher.kept:
-                    _route_to_kept_jobs(self.dispatcher.kept, node, message)
+                self._has_kept_jobs = True
+            case (
+                JobStateRequest() | HolderLease() | JobsLoaded() | JobsWritten()
+            ):
+                if self.dispatcher and self.dispatcher.kept_jobs:
+                    _route_to_kept_jobs(
+                        self.dispatcher.kept_jobs, node, message
+                    )
 
     def on_config(self, table: RoutingTable) -> bool:
         """Activates a configuration if its version is newer.
@@ -246,12 +250,12 @@
             return
         self._workers[info.name] = info
         if self.dispatcher and self._is_scheduled_here(info):
-            self.dispatcher.on_worker(info)
+            self.dispatcher.on_worker_heartbeat(info)
 
-    def _on_worker_left(self, name: str) -> None:
+    def _on_worker_removed(self, name: str) -> None:
         self._workers.pop(name, None)
         if self.dispatcher:
-            self.dispatcher.fleet.on_worker_left(name)
+            self.dispatcher.fleet.on_worker_removed(name)
 
     def _is_scheduled_here(self, info: WorkerInfo) -> bool:
         """Returns whether a worker belongs to this node's dispatcher."""
@@ -270,13 +274,13 @@
         if grant.epoch <= self.epoch:
             return
         is_same = self._role.on_grant(grant)
-        self._actions.append(Dial(grant.holder))
+        self._actions.append(ConnectNode(grant.holder))
         if self._role.standby:
-            self._actions.append(Dial(self._role.standby))
+            self._actions.append(ConnectNode(self._role.standby))
         self._update_dispatcher()
         if not is_same:
-            self.callers.forget_sent_to(None)
-            self.callers.hand_over_all()
+            self.callers.mark_unsent(None)
+            self.callers.forward_all()
 
     def _update_dispatcher(self) -> None:
         """Creates, keeps or drops the dispatcher, according to the role."""
@@ -299,34 +303,34 @@
         fence = self._role.fence
         if dispatcher.fleet.fence == fence:
             return True
-        if not self._is_hall_only and not dispatcher.follows(self.epoch):
+        if not self._is_hall_only and not dispatcher.is_next_epoch(self.epoch):
             return False
-        dispatcher.raise_fence(fence, self.epoch)
+        dispatcher.renew_grant(fence, self.epoch)
         return True
 
     def _create_dispatcher(self) -> None:
         """Creates the dispatcher for the current role and grant."""
-        ledger: JobLedger | None = None
+        store: JobStoreClient | None = None
         if not self._is_hall_only:
-            ledger = JobLedger(self._clock, self.epoch)
+            store = JobStoreClient(self._clock, self.epoch)
         self.dispatcher = Dispatcher(
             self._clock,
             self._timing,
             self._role.fence,
-            ledger,
+            store,
             self._started_ms,
         )
-        self.dispatcher.fleet.serves_kept = self._serves_kept
+        self.dispatcher.fleet.has_kept_jobs = self._has_kept_jobs
         self._send_status()
         for info in self._workers.values():
             if self._is_scheduled_here(info):
-                self.dispatcher.on_worker(info)
-        self.callers.forget_sent_to(self.node)
+                self.dispatcher.on_worker_heartbeat(info)
+        self.callers.mark_unsent(self.node)
         early_submits = self._early_submits
         self._early_submits = []
         for _, node, submit in early_submits:
             self._on_submit(node, submit)
-        self.callers.hand_over_all()
+        self.callers.forward_all()
 
     @property
     def _needs_epoch(self) -> bool:
@@ -348,7 +352,7 @@
     def tick(self) -> None:
         """Runs the periodic work: role, scheduling, timeouts and status."""
         now_ms = self._clock.now_ms()
-        self._role.note_outside(self._open_nodes.values())
+        self._role.update_reachability(self._open_nodes.values())
         self._role.tick()
         self._update_dispatcher()
         if self.dispatcher:
@@ -367,7 +371,7 @@
 
     def _announce_removed_workers(self, dispatcher: Dispatcher) -> None:
         """Notifies all entry nodes of the workers that were removed."""
-        for name in dispatcher.fleet.take_gone():
+        for name in dispatcher.fleet.take_removed_workers():
             self._workers.pop(name, None)
             self._broadcast(ENTRY_ROLE, WorkerLeft(name))
 
@@ -386,18 +390,18 @@
 
         Only the holder does so, and only while kept jobs are in use.
         """
-        kept = self.dispatcher.kept if self.dispatcher else None
-        if kept is None or not kept.is_used:
+        kept = self.dispatcher.kept_jobs if self.dispatcher else None
+        if kept is None or not kept.has_recent_jobs:
             return
-        self._kept_counts = kept.waiting()
-        self._serves_kept = True
+        self._kept_counts = kept.waiting_counts()
+        self._has_kept_jobs = True
         self._broadcast(ENTRY_ROLE, QueueCounts(self._kept_counts))
 
     def _broadcast(self, role: str, message: Message) -> None:
         """Sends a message to all connected nodes of a role."""
         for greeting in self._open_nodes.values():
             if greeting.role == role:
-                self._actions.append(TellEntry(greeting.node, message))
+                self._actions.append(SendToEntry(greeting.node, message))
 
     def begin_stop(self) -> None:
         """Starts a planned shutdown.
@@ -409,38 +413,38 @@
 
     # Replies of workers and the advisor.
 
-    def on_start_answer(
-        self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
+    def on_start_reply(
+        self, name: str, task_id: TaskId, number: int, reply: CommandReply
     ) -> None:
         """Handles a worker's reply to a start request."""
         if self.dispatcher:
-            self.dispatcher.fleet.on_start_answer(name, task_id, number, answer)
+            self.dispatcher.fleet.on_start_reply(name, task_id, number, reply)
 
-    def on_stop_answer(
-        self, name: str, task_id: TaskId, number: int, answer: OrderAnswer
+    def on_stop_reply(
+        self, name: str, task_id: TaskId, number: int, reply: CommandReply
     ) -> None:
         """Handles a worker's reply to a stop request."""
         if self.dispatcher:
-            self.dispatcher.fleet.on_stop_answer(name, task_id, number, answer)
+            self.dispatcher.fleet.on_stop_reply(name, task_id, number, reply)
 
-    def on_hold_answer(
-        self, name: str, call: int, sent_ms: float, answer: HoldAnswer
+    def on_poll_reply(
+        self, name: str, poll_id: int, sent_ms: float, reply: PollReply
     ) -> None:
         """Handles a worker's reply to a poll."""
         if self.dispatcher:
-            self.dispatcher.fleet.on_hold_answer(name, call, sent_ms, answer)
+            self.dispatcher.fleet.on_poll_reply(name, poll_id, sent_ms, reply)
 
-    def on_advice(self, call: int, advice: Advice) -> None:
+    def on_advice(self, request_id: int, advice: Advice) -> None:
         """Handles the advisor's reply to a ticket request."""
         if self.dispatcher:
-            self.dispatcher.on_advice(call, advice)
+            self.dispatcher.on_advice(request_id, advice)
 
     # Actions.
 
     def take_actions(self) -> list[EntryAction]:
         """Places waiting tasks and returns the actions since the last call."""
         if self.dispatcher:
-            self.dispatcher.place()
+            self.dispatcher.place_tasks()
             self._take_dispatcher_actions(self.dispatcher)
         actions = self._actions + self.callers.actions
         self._actions = []
@@ -453,7 +457,7 @@
         Messages to this node are handled directly.
         """
         for action in dispatcher.take_actions():
-            if isinstance(action, TellEntry) and action.node == self.node:
+            if isinstance(action, SendToEntry) and action.node == self.node:
                 self.on_message(self.node, action.message)
             else:
                 self._actions.append(action)
@@ -462,8 +466,8 @@
 def _route_to_kept_jobs(kept: KeptJobs, node: str, message: Message) -> None:
     """Passes a message about kept jobs to its handler."""
     match message:
-        case AskState():
-            kept.on_ask(node, message)
+        case JobStateRequest():
+            kept.on_state_request(node, message)
         case HolderLease():
             kept.on_lease(node, message)
         case JobsLoaded():
--- a/packages/pool/src/clayfield/pool/estimates.py
+++ b/packages/pool/src/clayfield/pool/estimates.py
@@ -52,7 +52,7 @@
         return self._mean_y + slope * (x - self._mean_x)
 
 
-class Estimates:
+class DurationEstimator:
     """Corrects callers' estimates of task durations, by queue."""
 
     __slots__ = ("_regressions",)
@@ -75,7 +75,9 @@
             return max(MIN_MS, estimate_ms)
         return math.exp(regression.predict(_log(estimate_ms)))
 
-    def on_end(self, queue: str, estimate_ms: float, took_ms: float) -> None:
+    def add_sample(
+        self, queue: str, estimate_ms: float, took_ms: float
+    ) -> None:
         """Adds the duration of a task that has ended.
 
         Args:
--- a/packages/pool/src/clayfield/pool/fleet.py
+++ b/packages/pool/src/clayfield/pool/fleet.py
@@ -13,22 +13,22 @@
 
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
-from clayfield.pool.holds import POLL_WAIT_MS, HoldSchedule
-from clayfield.pool.orders import (
-    EndedRow,
+from clayfield.pool.commands import (
+    CommandReply,
+    CommandResult,
+    EndedRun,
     EndKind,
-    HoldAnswer,
-    HoldWorker,
-    OrderAnswer,
-    OrderResult,
-    PaceRun,
+    PollReply,
+    PollWorker,
     PoolAction,
-    RunningRow,
+    RunningRun,
     StartRun,
     StopRun,
+    ThrottleRun,
 )
-from clayfield.pool.pacing import choose_pace
+from clayfield.pool.polling import POLL_WAIT_MS, PollSchedule
 from clayfield.pool.tasks import Run, RunState, Task, TaskId
+from clayfield.pool.throttling import choose_throttles
 from clayfield.pool.timing import PoolTiming
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import WorkerInfo
@@ -47,10 +47,10 @@
 # Pause of the polls of a worker that has rejected the fencing token.
 FENCED_PAUSE_MS = 500.0
 # Poll numbers that are reserved for each fencing token.
-CALLS_A_FENCE = 1_000_000
+CALLS_PER_FENCE = 1_000_000
 
 
-class RunEnd(enum.Enum):
+class RunOutcome(enum.Enum):
     """How a run ended for its task.
 
     LOST: the run has neither succeeded nor failed, and its task must run
@@ -62,18 +62,18 @@
     LOST = "lost"
 
 
-_RUN_ENDS = {EndKind.DONE: RunEnd.DONE, EndKind.FAILED: RunEnd.FAILED}
+_RUN_ENDS = {EndKind.DONE: RunOutcome.DONE, EndKind.FAILED: RunOutcome.FAILED}
 
 
 class FleetListener(abc.ABC):
     """Receives the events of a fleet."""
 
     @abc.abstractmethod
-    def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
+    def on_run_end(self, run: Run, end: RunOutcome, worker: Worker) -> None:
         """Handles the end of a run; its capacity is already released."""
 
     @abc.abstractmethod
-    def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
+    def on_inherited_end(self, row: EndedRun, worker: Worker) -> None:
         """Handles the end of a run that an earlier holder started."""
 
     @abc.abstractmethod
@@ -91,16 +91,16 @@
     Attributes:
         workers: the workers by name.
         actions: commands to send; the caller empties the list.
-        foreign: runs that an earlier holder started and that no job has
+        inherited: runs that an earlier holder started and that no job has
             claimed yet, by task.
         fence: fencing token that is sent with every command.
         timing: lease and stop times of the workers.
         is_standby: whether this node is a standby; the holder may then claim
             inherited runs.
-        confirmed_ms: time until which this node was certainly the only
+        sole_holder_until_ms: time until which this node was certainly the only
             holder, so that no other node renewed a lease, in ms; 0 for a
             standby.
-        serves_kept: whether kept jobs are in use, as reported to a standby.
+        has_kept_jobs: whether kept jobs are in use, as reported to a standby.
     """
 
     def __init__(
@@ -116,30 +116,30 @@
         self._listener = listener
         self.fence = fence
         self.is_standby = is_standby
-        self.serves_kept = False
-        self.confirmed_ms = 0.0
+        self.has_kept_jobs = False
+        self.sole_holder_until_ms = 0.0
         self.workers: dict[str, Worker] = {}
         self.actions: list[PoolAction] = []
-        self.foreign: dict[TaskId, Run] = {}
+        self.inherited: dict[TaskId, Run] = {}
         self._removed: list[str] = []
         self._recorded_ends: dict[TaskId, tuple[float, EndKind]] = {}
         self._probe_at_ms: dict[str, float] = {}
-        self._schedule = HoldSchedule(self.workers)
+        self._schedule = PollSchedule(self.workers)
 
     # Queries.
 
-    def is_adopted_since(self, since_ms: float) -> bool:
+    def is_synced_since(self, since_ms: float) -> bool:
         """Returns whether every worker has accepted a poll sent after a time.
 
         The runs on all workers are then known, and no other holder can start
         more.
         """
         return all(
-            worker.is_adopted and worker.obeyed_ms > since_ms
+            worker.is_synced and worker.synced_ms > since_ms
             for worker in self.workers.values()
         )
 
-    def ask_all(self) -> None:
+    def poll_all(self) -> None:
         """Polls every worker again, a limited number of them at a time."""
         self._schedule.sync_after_ms = self._clock.now_ms()
         self._poll_unsynced()
@@ -148,26 +148,26 @@
         for worker in self._schedule.take_unsynced():
             self._send_poll(worker, 0)
 
-    def take_gone(self) -> list[str]:
+    def take_removed_workers(self) -> list[str]:
         """Returns the names of the workers removed since the last call."""
         removed = self._removed
         self._removed = []
         return removed
 
-    def past_end(self, task_id: TaskId) -> EndKind | None:
+    def recorded_end(self, task_id: TaskId) -> EndKind | None:
         """Returns how an inherited run of a task ended, None if unknown."""
         recorded = self._recorded_ends.get(task_id)
         return recorded[1] if recorded else None
 
     # Addition and removal of workers.
 
-    def on_worker(self, info: WorkerInfo) -> None:
+    def on_worker_heartbeat(self, info: WorkerInfo) -> None:
         """Handles a worker's heartbeat."""
         existing = self.workers.get(info.name)
         if existing is None:
             # Replies to polls that this node sent under an earlier grant must
             # not match its present polls, so each fence has its own numbers.
-            first_poll = self.fence * CALLS_A_FENCE
+            first_poll = self.fence * CALLS_PER_FENCE
             now_ms = self._clock.now_ms()
             worker = Worker(info, now_ms, first_poll)
             # An earlier holder may have renewed the lease just now.
@@ -179,18 +179,18 @@
                 _log_worker(info)
             existing.info = info
 
-    def on_worker_left(self, name: str) -> None:
+    def on_worker_removed(self, name: str) -> None:
         """Removes a worker whose incarnation has ended; its runs are lost."""
         worker = self.workers.pop(name, None)
         if worker is None:
             return
-        worker.is_gone = True
+        worker.is_removed = True
         self._removed.append(name)
         self._schedule.on_reply(name)
         emit(Event.WORKER_GONE, worker=name, runs=len(worker.runs))
         self._probe_at_ms.pop(name, None)
         for run in list(worker.runs.values()):
-            self._end_run(worker, run, RunEnd.LOST)
+            self._end_run(worker, run, RunOutcome.LOST)
 
     # Commands.
 
@@ -235,8 +235,8 @@
         if worker.open_poll and worker.poll_wait_ms <= POLL_WAIT_MS:
             return
         worker.open_poll = 0
-        worker.next_hold_ms = now_ms
-        self.renew(worker)
+        worker.next_poll_ms = now_ms
+        self.poll_if_due(worker)
 
     def stop(self, run: Run) -> None:
         """Stops a run."""
@@ -268,10 +268,10 @@
             worker.on_lease_sent(now_ms, lease_ms)
         worker.last_poll += 1
         self.actions.append(
-            HoldWorker(
+            PollWorker(
                 worker.name,
                 worker.info.address,
-                worker.seen_upto,
+                worker.acked_sequence,
                 wait_ms,
                 until_ms,
                 self.fence,
@@ -281,8 +281,8 @@
 
     # Replies.
 
-    def on_start_answer(
-        self, name: str, task_id: TaskId, number: int, reply: OrderAnswer
+    def on_start_reply(
+        self, name: str, task_id: TaskId, number: int, reply: CommandReply
     ) -> None:
         """Handles a worker's reply to a start request.
 
@@ -302,40 +302,40 @@
             self._apply_result(worker, reply.result)
             return
         match reply.result:
-            case OrderResult.DONE:
+            case CommandResult.DONE:
                 run.state = RunState.RUNNING
-                run.answered_ms = self._clock.now_ms()
+                run.confirmed_ms = self._clock.now_ms()
                 return
-            case OrderResult.LOST:
+            case CommandResult.LOST:
                 run.state = RunState.DOUBTFUL
                 emit(Event.RUN_DOUBTFUL, **_run_fields(run))
                 self._send_stop(worker, run)
-            case OrderResult.OLD_RUN:
+            case CommandResult.OLD_RUN:
                 run.task.last_run += RUN_NUMBER_SKIP
-                self._end_run(worker, run, RunEnd.LOST)
-            case OrderResult.BAD_ORDER:
-                self._end_run(worker, run, RunEnd.FAILED)
-            case OrderResult.NO_TICKET:
+                self._end_run(worker, run, RunOutcome.LOST)
+            case CommandResult.BAD_ORDER:
+                self._end_run(worker, run, RunOutcome.FAILED)
+            case CommandResult.NO_TICKET:
                 self._listener.on_ticket_rejected(run, worker)
-                self._end_run(worker, run, RunEnd.LOST)
+                self._end_run(worker, run, RunOutcome.LOST)
             case _:
-                self._end_run(worker, run, RunEnd.LOST)
+                self._end_run(worker, run, RunOutcome.LOST)
         self._apply_result(worker, reply.result)
 
-    def _apply_result(self, worker: Worker, result: OrderResult) -> None:
+    def _apply_result(self, worker: Worker, result: CommandResult) -> None:
         """Updates a worker's state by the result of a command."""
         match result:
-            case OrderResult.FENCED:
+            case CommandResult.FENCED:
                 self._on_fenced(worker)
-            case OrderResult.GONE:
-                self.on_worker_left(worker.name)
-            case OrderResult.UNHEALTHY | OrderResult.NO_ROOM:
-                worker.set_aside(self._clock.now_ms(), result.value)
-            case OrderResult.UNREACHED:
+            case CommandResult.GONE:
+                self.on_worker_removed(worker.name)
+            case CommandResult.UNHEALTHY | CommandResult.NO_ROOM:
+                worker.suspend(self._clock.now_ms(), result.value)
+            case CommandResult.UNREACHED:
                 self._on_unreachable(worker)
 
-    def on_stop_answer(
-        self, name: str, task_id: TaskId, number: int, reply: OrderAnswer
+    def on_stop_reply(
+        self, name: str, task_id: TaskId, number: int, reply: CommandReply
     ) -> None:
         """Handles a worker's reply to a stop request.
 
@@ -355,23 +355,23 @@
         self._apply_result(worker, reply.result)
 
     def _on_stop_result(
-        self, worker: Worker, run: Run, result: OrderResult
+        self, worker: Worker, run: Run, result: CommandResult
     ) -> None:
         now_ms = self._clock.now_ms()
-        if result in (OrderResult.DONE, OrderResult.OLD_RUN):
+        if result in (CommandResult.DONE, CommandResult.OLD_RUN):
             run.stopped_ms = now_ms
             self._probe_at_ms[worker.name] = now_ms + self.timing.stop_ms + 5.0
-        elif result in (OrderResult.LOST, OrderResult.UNREACHED):
-            run.since_ms = now_ms
+        elif result in (CommandResult.LOST, CommandResult.UNREACHED):
+            run.commanded_ms = now_ms
 
-    def on_hold_answer(
-        self, name: str, poll: int, sent_ms: float, reply: HoldAnswer
+    def on_poll_reply(
+        self, name: str, poll_id: int, sent_ms: float, reply: PollReply
     ) -> None:
         """Handles a worker's reply to a poll.
 
         Args:
             name: name of the worker.
-            poll: number of the poll.
+            poll_id: number of the poll.
             sent_ms: time when the poll was sent, in ms.
             reply: the reply, or why there is none.
         """
@@ -379,11 +379,11 @@
         if worker is None:
             return
         now_ms = self._clock.now_ms()
-        if poll == worker.open_poll:
+        if poll_id == worker.open_poll:
             worker.open_poll = 0
         self._schedule.on_reply(name)
-        if reply.result is not OrderResult.DONE:
-            worker.next_hold_ms = now_ms + self._schedule.retry_ms
+        if reply.result is not CommandResult.DONE:
+            worker.next_poll_ms = now_ms + self._schedule.retry_ms
             self._on_poll_failed(worker, reply.result)
             return
         self._record_reply(worker, reply.clock_ms)
@@ -391,31 +391,31 @@
         for row in reply.ended:
             self._on_ended(worker, row)
         self._on_running(worker, reply.running, sent_ms)
-        worker.next_hold_ms = now_ms + self._schedule.pause_ms(worker)
+        worker.next_poll_ms = now_ms + self._schedule.pause_ms(worker)
         self._throttle(worker, now_ms)
-        worker.is_adopted = True
-        worker.obeyed_ms = max(worker.obeyed_ms, sent_ms)
-        self.renew(worker)
+        worker.is_synced = True
+        worker.synced_ms = max(worker.synced_ms, sent_ms)
+        self.poll_if_due(worker)
 
     def _throttle(self, worker: Worker, now_ms: float) -> None:
         """Adjusts the speed of batch runs to the latencies measured there."""
-        for run, percent in choose_pace(worker, now_ms).items():
+        for run, speed_percent in choose_throttles(worker, now_ms).items():
             worker.throttled_ms = now_ms
-            run.percent = percent
+            run.speed_percent = speed_percent
             self.actions.append(
-                PaceRun(
+                ThrottleRun(
                     worker.name,
                     worker.info.address,
                     run.task_id,
                     run.number,
-                    percent,
+                    speed_percent,
                     self.fence,
                 )
             )
-            emit(Event.RUN_PACED, **_run_fields(run), percent=percent)
+            emit(Event.RUN_PACED, **_run_fields(run), percent=speed_percent)
 
-    def _on_poll_failed(self, worker: Worker, result: OrderResult) -> None:
-        if result is OrderResult.LOST:
+    def _on_poll_failed(self, worker: Worker, result: CommandResult) -> None:
+        if result is CommandResult.LOST:
             self._on_unreachable(worker)
         else:
             self._apply_result(worker, result)
@@ -447,34 +447,34 @@
         emit(Event.WORKER_BACK, worker=worker.name, silent_ms=round(outage_ms))
 
     def _on_fenced(self, worker: Worker) -> None:
-        if worker.is_adopted:
+        if worker.is_synced:
             emit(Event.WORKER_FENCED, worker=worker.name, fence=self.fence)
-        worker.is_adopted = False
-        worker.next_hold_ms = self._clock.now_ms() + FENCED_PAUSE_MS
+        worker.is_synced = False
+        worker.next_poll_ms = self._clock.now_ms() + FENCED_PAUSE_MS
         self._listener.on_fenced(worker)
 
     # Runs listed by workers.
 
-    def _on_ended(self, worker: Worker, row: EndedRow) -> None:
+    def _on_ended(self, worker: Worker, row: EndedRun) -> None:
         if row.sequence <= worker.last_end_sequence:
             return
         worker.last_end_sequence = row.sequence
         run = worker.runs.get(row.task_id)
         is_current = run is not None and run.number == row.number
-        if not is_current or run.is_foreign:
+        if not is_current or run.is_inherited:
             self._record_inherited_end(worker, row)
         if is_current:
             run.end_sequence = row.sequence
-            run.saved = row.saved
-            self._end_run(worker, run, _RUN_ENDS.get(row.kind, RunEnd.LOST))
+            run.checkpoint = row.checkpoint
+            self._end_run(worker, run, _RUN_ENDS.get(row.kind, RunOutcome.LOST))
 
-    def _record_inherited_end(self, worker: Worker, row: EndedRow) -> None:
+    def _record_inherited_end(self, worker: Worker, row: EndedRun) -> None:
         if row.kind not in (EndKind.DONE, EndKind.FAILED):
             return
         self._recorded_ends[row.task_id] = (self._clock.now_ms(), row.kind)
-        self._listener.on_foreign_end(row, worker)
+        self._listener.on_inherited_end(row, worker)
 
-    def on_stored(self, name: str, sequence: int) -> None:
+    def on_end_stored(self, name: str, sequence: int) -> None:
         """Handles the confirmation that a run's end is in stable storage.
 
         Args:
@@ -484,13 +484,13 @@
         worker = self.workers.get(name)
         if worker is None:
             return
-        worker.on_stored(sequence)
+        worker.on_end_stored(sequence)
         if not worker.has_unstored_ends and not worker.open_poll:
-            worker.next_hold_ms = self._clock.now_ms()
-            self.renew(worker)
+            worker.next_poll_ms = self._clock.now_ms()
+            self.poll_if_due(worker)
 
     def _on_running(
-        self, worker: Worker, rows: list[RunningRow], sent_ms: float
+        self, worker: Worker, rows: list[RunningRun], sent_ms: float
     ) -> None:
         listed = {(row.task_id, row.number): row for row in rows}
         for row in rows:
@@ -498,9 +498,9 @@
             if existing is None:
                 self._add_inherited(worker, row)
             elif existing.number == row.number:
-                existing.saved = row.saved
-                existing.percent = row.percent
-                existing.figure = row.figure
+                existing.checkpoint = row.checkpoint
+                existing.speed_percent = row.speed_percent
+                existing.tail_latency_ms = row.tail_latency_ms
                 self._confirm_start(existing)
         for run in list(worker.runs.values()):
             if (run.task_id, run.number) not in listed:
@@ -509,22 +509,22 @@
     def _confirm_start(self, run: Run) -> None:
         if run.state is RunState.STARTING:
             run.state = RunState.RUNNING
-            run.answered_ms = self._clock.now_ms()
+            run.confirmed_ms = self._clock.now_ms()
 
     def _on_unlisted(self, worker: Worker, run: Run, sent_ms: float) -> None:
         """Handles a run that its worker lists neither as running nor ended."""
         match run.state:
             case RunState.RUNNING:
-                if run.answered_ms is not None and run.answered_ms < sent_ms:
-                    self._end_run(worker, run, RunEnd.LOST)
+                if run.confirmed_ms is not None and run.confirmed_ms < sent_ms:
+                    self._end_run(worker, run, RunOutcome.LOST)
             case RunState.DOUBTFUL | RunState.STOPPING:
                 stopped_ms = run.stopped_ms
                 if stopped_ms is None:
                     return
                 if stopped_ms + self.timing.stop_ms <= sent_ms:
-                    self._end_run(worker, run, RunEnd.LOST)
+                    self._end_run(worker, run, RunOutcome.LOST)
 
-    def _add_inherited(self, worker: Worker, row: RunningRow) -> None:
+    def _add_inherited(self, worker: Worker, row: RunningRun) -> None:
         """Adds a run that an earlier holder started.
 
         Its resource usage is unknown, so nothing is placed beside it.
@@ -537,19 +537,19 @@
             RunState.RUNNING,
             self._clock.now_ms(),
         )
-        run.answered_ms = run.since_ms
-        run.saved = row.saved
-        run.percent = row.percent
-        run.figure = row.figure
+        run.confirmed_ms = run.commanded_ms
+        run.checkpoint = row.checkpoint
+        run.speed_percent = row.speed_percent
+        run.tail_latency_ms = row.tail_latency_ms
         worker.reserve(run)
-        self.foreign[row.task_id] = run
+        self.inherited[row.task_id] = run
         if self.is_standby:
             # The holder may start the task elsewhere once the lease that it
             # gave has lapsed, so the lease must not be renewed here.
             worker.is_lease_withheld = True
             self.stop(run)
 
-    def leave_to_holder(self, row: EndedRow, worker: Worker) -> None:
+    def defer_end_to_holder(self, row: EndedRun, worker: Worker) -> None:
         """Leaves the end of an inherited run to the holder.
 
         The end is not acknowledged, so the worker goes on listing it. Where
@@ -560,11 +560,11 @@
             row: the end.
             worker: the worker that lists it.
         """
-        worker.await_storing(row.sequence)
-        if self.serves_kept:
+        worker.hold_ack(row.sequence)
+        if self.has_kept_jobs:
             worker.deferred_end_ms = self._clock.now_ms()
 
-    def claim(self, task: Task, work_ms: float) -> bool:
+    def claim_inherited_run(self, task: Task, work_ms: float) -> bool:
         """Assigns an inherited run to its task.
 
         Args:
@@ -574,14 +574,14 @@
         Returns:
             Whether there is such a run.
         """
-        run = self.foreign.pop(task.id, None)
+        run = self.inherited.pop(task.id, None)
         if run is None:
             return False
         worker = self.workers[run.worker]
         worker.release(run)
         run.task = task
         run.set_expected_time(work_ms, worker.speed)
-        run.cpu = task.step.room_cpu
+        run.cpu = task.step.reserved_cpu
         run.memory_mb = task.step.memory_mb
         run.gpu = task.step.gpu
         worker.reserve(run)
@@ -589,17 +589,17 @@
         task.last_run = max(task.last_run, run.number)
         return True
 
-    def _end_run(self, worker: Worker, run: Run, end: RunEnd) -> None:
-        if end is not RunEnd.DONE:
+    def _end_run(self, worker: Worker, run: Run, end: RunOutcome) -> None:
+        if end is not RunOutcome.DONE:
             emit(
                 Event.RUN_LOST,
                 **_run_fields(run),
                 state=run.state.value,
                 end=end.value,
-                ran_ms=round(self._clock.now_ms() - run.since_ms),
+                ran_ms=round(self._clock.now_ms() - run.commanded_ms),
             )
         worker.release(run)
-        self.foreign.pop(run.task_id, None)
+        self.inherited.pop(run.task_id, None)
         self._listener.on_run_end(run, end, worker)
 
     # Periodic work.
@@ -619,24 +619,24 @@
         if not worker.is_reachable:
             outage_ms = now_ms - worker.unreachable_since_ms
             if outage_ms > UNREACHABLE_TIMEOUT_MS:
-                self.on_worker_left(worker.name)
+                self.on_worker_removed(worker.name)
                 return
-            if worker.lease_ends_ms < min(now_ms, self.confirmed_ms):
+            if worker.lease_ends_ms < min(now_ms, self.sole_holder_until_ms):
                 self._end_lapsed_runs(worker)
-        if self.is_standby and worker.is_known:
-            worker.withhold_lease(worker.deferred_end_ms, now_ms)
+        if self.is_standby and worker.has_known_usage:
+            worker.update_lease_withholding(worker.deferred_end_ms, now_ms)
         self._retry_stops(worker, now_ms)
         if self._is_probe_due(worker, now_ms):
             self._probe_at_ms[worker.name] = now_ms + PROBE_INTERVAL_MS
             self._send_poll(worker, 0)
-        self.renew(worker)
+        self.poll_if_due(worker)
 
-    def renew(self, worker: Worker) -> None:
+    def poll_if_due(self, worker: Worker) -> None:
         """Polls a worker if its next poll is due and none is open."""
         now_ms = self._clock.now_ms()
-        if worker.open_poll or now_ms < worker.next_hold_ms:
+        if worker.open_poll or now_ms < worker.next_poll_ms:
             return
-        if not worker.is_adopted and not self._schedule.try_start_sync(worker):
+        if not worker.is_synced and not self._schedule.try_start_sync(worker):
             return
         worker.poll_wait_ms = self._schedule.wait_ms(worker)
         self._send_poll(worker, worker.poll_wait_ms)
@@ -663,22 +663,22 @@
     def _end_lapsed_runs(self, worker: Worker) -> None:
         """Ends the confirmed runs of a worker whose lease has lapsed."""
         for run in list(worker.runs.values()):
-            if run.state is RunState.RUNNING or run.answered_ms is not None:
-                self._end_run(worker, run, RunEnd.LOST)
+            if run.state is RunState.RUNNING or run.confirmed_ms is not None:
+                self._end_run(worker, run, RunOutcome.LOST)
 
     def _retry_stops(self, worker: Worker, now_ms: float) -> None:
         for run in worker.runs.values():
             is_stopping = run.state in (RunState.DOUBTFUL, RunState.STOPPING)
             if not is_stopping or run.stopped_ms is not None:
                 continue
-            if now_ms - run.since_ms > STOP_RETRY_MS:
-                run.since_ms = now_ms
+            if now_ms - run.commanded_ms > STOP_RETRY_MS:
+                run.commanded_ms = now_ms
                 self._send_stop(worker, run)
 
     def _stop_orphans(self, now_ms: float) -> None:
-        for run in list(self.foreign.values()):
+        for run in list(self.inherited.values()):
             is_running = run.state is RunState.RUNNING
-            if is_running and now_ms - run.since_ms > ORPHAN_TIMEOUT_MS:
+            if is_running and now_ms - run.commanded_ms > ORPHAN_TIMEOUT_MS:
                 self.stop(run)
 
 
--- a/packages/pool/src/clayfield/pool/forecast.py
+++ b/packages/pool/src/clayfield/pool/forecast.py
@@ -24,11 +24,11 @@
         heapq.heapify(self._free_ms)
 
     @property
-    def has_places(self) -> bool:
+    def has_slots(self) -> bool:
         """Whether there is any slot."""
         return bool(self._free_ms)
 
-    def add(self, task_ms: float, ready_ms: float = 0.0) -> float:
+    def add_task(self, task_ms: float, ready_ms: float = 0.0) -> float:
         """Assigns a task to the slot that is free first.
 
         Args:
--- a/packages/pool/src/clayfield/pool/intake.py
+++ b/packages/pool/src/clayfield/pool/intake.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 
 from clayfield.base import Clock
-from clayfield.pool.admission import OVERHEAD_MS, Admission
-from clayfield.pool.advice import Advisor
+from clayfield.pool.admission import TASK_OVERHEAD_MS, Admission
 from clayfield.pool.fleet import Fleet
 from clayfield.pool.forecast import Forecast
-from clayfield.pool.jobtable import JobTable
-from clayfield.pool.placement import MANY_WORKERS, RoomSearch
+from clayfield.pool.job_table import JobTable
+from clayfield.pool.placement import SAMPLING_THRESHOLD, WorkerSelector
 from clayfield.pool.tasks import OpenJob
+from clayfield.pool.tickets import TicketCache
 from clayfield.wire.jobs import Job, Reason
 
 # A job may be refused at no cost until it has waited for this share of its
@@ -36,7 +36,7 @@
         fleet: Fleet,
         jobs: JobTable,
         admission: Admission,
-        advisor: Advisor,
+        tickets: TicketCache,
         refuse: Refuse,
     ):
         """Creates the admission decisions of one holder.
@@ -46,7 +46,7 @@
             fleet: the workers.
             jobs: the open jobs.
             admission: objectives and forecasts of jobs.
-            advisor: tickets that permit workers to run advised jobs.
+            tickets: tickets that permit workers to run advised jobs.
             refuse: ends a job with a reason and the time after which to
                 retry, in ms.
         """
@@ -54,7 +54,7 @@
         self._fleet = fleet
         self._jobs = jobs
         self._admission = admission
-        self._advisor = advisor
+        self._tickets = tickets
         self._refuse = refuse
 
     def admit(self, open_job: OpenJob) -> bool:
@@ -68,7 +68,7 @@
             return False
         now_ms = self._clock.now_ms()
         open_job.late_at_ms = self._admission.late_at_ms(open_job)
-        if open_job.is_lasting or open_job.job.schedule:
+        if open_job.is_long_running or open_job.job.schedule:
             return True
         if not self._jobs.has_waiting and self._has_capacity(
             open_job.job, now_ms
@@ -79,13 +79,13 @@
     def _can_end_in_time(self, open_job: OpenJob, now_ms: float) -> bool:
         """Returns whether a job is forecast to end in time; else refuses it."""
         forecast = self._forecast(now_ms)
-        if not forecast.has_places:
+        if not forecast.has_slots:
             return True
         is_late = now_ms > open_job.late_at_ms
-        for other in self._jobs.in_turn():
-            is_before = is_late or other.turn <= open_job.turn
+        for other in self._jobs.on_time_jobs():
+            is_before = is_late or other.sort_key <= open_job.sort_key
             if other is not open_job and is_before:
-                self._admission.add_to(forecast, other, now_ms)
+                self._admission.add_to_forecast(forecast, other, now_ms)
         return not self._is_refused(open_job, forecast, now_ms)
 
     def _could_run(self, job: Job) -> bool:
@@ -101,7 +101,7 @@
         if not workers:
             return True
         return all(
-            any(worker.could_fit(step) for worker in workers)
+            any(worker.fits_when_idle(step) for worker in workers)
             for step in job.steps
         )
 
@@ -111,14 +111,16 @@
         Checked only with many workers, where it saves a costly forecast.
         """
         workers = self._fleet.workers.values()
-        if len(workers) <= MANY_WORKERS:
+        if len(workers) <= SAMPLING_THRESHOLD:
             return False
-        return RoomSearch(workers, self._advisor, now_ms).has_room_for(job)
+        return WorkerSelector(workers, self._tickets, now_ms).has_capacity_for(
+            job
+        )
 
     def _forecast(self, now_ms: float) -> Forecast:
         """Returns a forecast without any waiting tasks."""
-        return self._admission.places(
-            self._fleet.workers.values(), self._jobs.usual_cpu, now_ms
+        return self._admission.slot_free_times(
+            self._fleet.workers.values(), self._jobs.mean_cpu, now_ms
         )
 
     def _is_refused(
@@ -136,13 +138,13 @@
         Returns:
             Whether the job was refused.
         """
-        end_ms = self._admission.add_to(forecast, open_job, now_ms)
+        end_ms = self._admission.add_to_forecast(forecast, open_job, now_ms)
         age_ms = now_ms - open_job.arrived_ms
-        open_job.forecast_ms = age_ms + end_ms + OVERHEAD_MS
+        open_job.forecast_ms = age_ms + end_ms + TASK_OVERHEAD_MS
         objective_ms = self._admission.objective_ms(open_job.job)
         may_refuse = age_ms <= objective_ms * FREE_REFUSAL_SHARE
-        allowed_ms = self._admission.allowed_ms(open_job.job, now_ms)
-        if open_job.forecast_ms <= allowed_ms or not may_refuse:
+        max_forecast_ms = self._admission.max_forecast_ms(open_job.job, now_ms)
+        if open_job.forecast_ms <= max_forecast_ms or not may_refuse:
             return False
         retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, end_ms))
         self._refuse(open_job, Reason.TOO_LATE, retry_ms)
@@ -154,11 +156,11 @@
             return
         now_ms = self._clock.now_ms()
         forecast = self._forecast(now_ms)
-        if not forecast.has_places:
+        if not forecast.has_slots:
             return
-        for open_job in self._jobs.in_turn():
-            is_committed = open_job.is_offered or open_job.job.is_kept
+        for open_job in self._jobs.on_time_jobs():
+            is_committed = open_job.is_started or open_job.job.is_kept
             if is_committed or not open_job.is_placeable:
-                self._admission.add_to(forecast, open_job, now_ms)
+                self._admission.add_to_forecast(forecast, open_job, now_ms)
             else:
                 self._is_refused(open_job, forecast, now_ms)
--- a/packages/pool/src/clayfield/pool/ledger.py
+++ b/packages/pool/src/clayfield/pool/job_store_client.py
@@ -11,9 +11,8 @@
 """
 
 from clayfield.base import Clock
-from clayfield.pool.orders import TellEntry
-from clayfield.wire.jobs import Job, JobState
-from clayfield.wire.ledger import (
+from clayfield.pool.commands import SendToEntry
+from clayfield.wire.job_store import (
     AcceptJob,
     HolderLease,
     JobChange,
@@ -23,6 +22,7 @@
     LoadJobs,
     WriteJobs,
 )
+from clayfield.wire.jobs import Job, JobState
 
 # How long authority lasts, from the sending of the confirmed status message.
 AUTHORITY_MS = 1500.0
@@ -30,7 +30,7 @@
 RESEND_MS = 400.0
 
 
-class StoredChange:
+class JobChangeRecord:
     """A change to the job store and the worker's report that it is based on.
 
     Attributes:
@@ -52,13 +52,13 @@
 
     __slots__ = ("changes", "sent_ms", "sequence")
 
-    def __init__(self, sequence: int, changes: list[StoredChange]):
+    def __init__(self, sequence: int, changes: list[JobChangeRecord]):
         self.sequence = sequence
         self.changes = changes
         self.sent_ms: float | None = None
 
 
-class JobLedger:
+class JobStoreClient:
     """Loads the stored jobs and writes the holder's changes to them.
 
     Attributes:
@@ -73,13 +73,13 @@
         self._clock = clock
         self.epoch = epoch
         self.is_loaded = False
-        self.actions: list[TellEntry] = []
+        self.actions: list[SendToEntry] = []
         self._leader = ""
         self.confirmed_ms = -AUTHORITY_MS
         self._load_sent_ms = -RESEND_MS
         self._load_request = 0
         self._loaded_parts: list[JobsLoaded] = []
-        self._unsent: list[StoredChange] = []
+        self._unsent: list[JobChangeRecord] = []
         self._in_flight: _Batch | None = None
         self._sequence = 0
 
@@ -88,14 +88,14 @@
         """Whether certainly no other node is the holder yet."""
         return self._clock.now_ms() < self.confirmed_ms + AUTHORITY_MS
 
-    def write(self, change: StoredChange) -> None:
+    def write(self, change: JobChangeRecord) -> None:
         """Adds a change to the next write.
 
         `on_written` returns the change once it is stored.
         """
         self._unsent.append(change)
 
-    def withdraw_jobs(self) -> list[Job]:
+    def withdraw_unsent_jobs(self) -> list[Job]:
         """Removes the jobs whose acceptance was never sent; returns them.
 
         All other unsent changes to these jobs are removed too.
@@ -113,7 +113,7 @@
         ]
         return jobs
 
-    def raise_epoch(self, epoch: int) -> None:
+    def renew_epoch(self, epoch: int) -> None:
         """Continues under this node's next grant.
 
         No other node may have been the holder in between.
@@ -154,14 +154,14 @@
         self.is_loaded = loaded.is_last
         return loaded.is_last
 
-    def take_open(self) -> list[KeptJob]:
+    def take_open_jobs(self) -> list[KeptJob]:
         """Returns the loaded jobs that have not ended."""
         return [job for part in self._loaded_parts for job in part.open_jobs]
 
-    def take_ended(self) -> dict[str, JobState]:
+    def take_ended_jobs(self) -> dict[str, JobState]:
         """Returns by key the outcomes of the loaded jobs that ended.
 
-        Discards the loaded parts, so `take_open` must be called first.
+        Discards the loaded parts, so `take_open_jobs` must be called first.
         """
         ended: dict[str, JobState] = {}
         for part in self._loaded_parts:
@@ -169,7 +169,7 @@
         self._loaded_parts = []
         return ended
 
-    def on_written(self, written: JobsWritten) -> list[StoredChange]:
+    def on_written(self, written: JobsWritten) -> list[JobChangeRecord]:
         """Handles the confirmation of a write; returns its changes."""
         batch = self._in_flight
         if batch is None or batch.sequence != written.sequence:
@@ -201,7 +201,7 @@
         batch.sent_ms = now_ms
         changes = tuple(pending.change for pending in batch.changes)
         write = WriteJobs(self.epoch, batch.sequence, changes)
-        self.actions.append(TellEntry(self._leader, write))
+        self.actions.append(SendToEntry(self._leader, write))
 
     def _send_load(self) -> None:
         """Requests the stored jobs, unless they are loaded or requested."""
@@ -212,7 +212,7 @@
         self._load_request += 1
         self._loaded_parts = []
         load = LoadJobs(self.epoch, self._load_request)
-        self.actions.append(TellEntry(self._leader, load))
+        self.actions.append(SendToEntry(self._leader, load))
 
 
 def _key_of(change: JobChange) -> str:
--- a/packages/pool/src/clayfield/pool/jobtable.py
+++ b/packages/pool/src/clayfield/pool/job_table.py
@@ -19,7 +19,7 @@
     Attributes:
         by_key: all jobs, by key.
         on_time: the jobs that can still end in time, by key.
-        timed: the jobs with a schedule, by key.
+        scheduled: the jobs with a schedule, by key.
         is_changed: whether a job was enqueued since the flag was last cleared.
     """
 
@@ -32,13 +32,13 @@
         "by_key",
         "is_changed",
         "on_time",
-        "timed",
+        "scheduled",
     )
 
     def __init__(self) -> None:
         self.by_key: dict[str, OpenJob] = {}
         self.on_time: dict[str, OpenJob] = {}
-        self.timed: dict[str, OpenJob] = {}
+        self.scheduled: dict[str, OpenJob] = {}
         self.is_changed = False
         self._queue: dict[str, OpenJob] = {}
         self._late: list[tuple[int, float, str]] = []
@@ -54,7 +54,7 @@
         self.by_key[key] = open_job
         self.on_time[key] = open_job
         if open_job.job.schedule:
-            self.timed[key] = open_job
+            self.scheduled[key] = open_job
         self._update_totals(open_job, 1)
 
     def enqueue(self, open_job: OpenJob) -> None:
@@ -72,12 +72,12 @@
         """Removes a job, if present."""
         open_job = self.by_key.pop(key, None)
         self.on_time.pop(key, None)
-        self.timed.pop(key, None)
+        self.scheduled.pop(key, None)
         self._queue.pop(key, None)
         if open_job:
             self._update_totals(open_job, -1)
 
-    def turn_late(self, now_ms: float) -> None:
+    def mark_late(self, now_ms: float) -> None:
         """Moves the jobs that can't end in time any more behind all others."""
         for key, open_job in list(self.on_time.items()):
             if now_ms > open_job.late_at_ms:
@@ -92,8 +92,8 @@
         Args:
             wall_ms: the current wall-clock time, in ms.
         """
-        for open_job in self.timed.values():
-            if open_job.release(wall_ms):
+        for open_job in self.scheduled.values():
+            if open_job.release_due(wall_ms):
                 self.enqueue(open_job)
 
     def _insert_late(self, open_job: OpenJob) -> None:
@@ -101,13 +101,13 @@
         key = open_job.job.key
         if key not in self._late_keys:
             self._late_keys.add(key)
-            bisect.insort(self._late, (*open_job.turn, key))
+            bisect.insort(self._late, (*open_job.sort_key, key))
 
     def _update_totals(self, open_job: OpenJob, sign: int) -> None:
         """Adds (sign 1) or subtracts (sign -1) a job's steps in the totals."""
         for step in open_job.job.steps:
             self._step_count += sign
-            self._total_step_cpu += sign * step.room_cpu
+            self._total_step_cpu += sign * step.reserved_cpu
 
     # Queries.
 
@@ -117,7 +117,7 @@
         return bool(self._queue)
 
     @property
-    def usual_cpu(self) -> float:
+    def mean_cpu(self) -> float:
         """Mean CPU of a task over all steps, in thousandths of a core."""
         return (
             max(1.0, self._total_step_cpu / self._step_count)
@@ -125,7 +125,7 @@
             else 1.0
         )
 
-    def kept(self) -> list[OpenJob]:
+    def kept_jobs(self) -> list[OpenJob]:
         """Returns the kept jobs."""
         return [
             open_job
@@ -133,11 +133,13 @@
             if open_job.job.is_kept
         ]
 
-    def in_turn(self) -> list[OpenJob]:
+    def on_time_jobs(self) -> list[OpenJob]:
         """Returns the jobs that are on time, in placement order."""
-        return sorted(self.on_time.values(), key=lambda open_job: open_job.turn)
+        return sorted(
+            self.on_time.values(), key=lambda open_job: open_job.sort_key
+        )
 
-    def waiting(self) -> Iterator[OpenJob]:
+    def waiting_jobs(self) -> Iterator[OpenJob]:
         """Yields the enqueued jobs in placement order.
 
         The job that was yielded last may be dequeued during the iteration.
@@ -145,7 +147,7 @@
         on_time = [
             queued for queued in self._queue.values() if not queued.is_late
         ]
-        yield from sorted(on_time, key=lambda open_job: open_job.turn)
+        yield from sorted(on_time, key=lambda open_job: open_job.sort_key)
         stale: list[tuple[int, float, str]] = []
         try:
             for late_entry in self._late:
--- a/packages/pool/src/clayfield/pool/kept.py
+++ b/packages/pool/src/clayfield/pool/kept.py
@@ -15,31 +15,35 @@
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
 from clayfield.pool.admission import Admission
-from clayfield.pool.fleet import Fleet, RunEnd
-from clayfield.pool.jobtable import JobTable
-from clayfield.pool.ledger import AUTHORITY_MS, JobLedger, StoredChange
-from clayfield.pool.orders import EndedRow, EndKind, TellEntry
+from clayfield.pool.commands import EndedRun, EndKind, SendToEntry
+from clayfield.pool.fleet import Fleet, RunOutcome
+from clayfield.pool.job_store_client import (
+    AUTHORITY_MS,
+    JobChangeRecord,
+    JobStoreClient,
+)
+from clayfield.pool.job_table import JobTable
 from clayfield.pool.tasks import OpenJob, Run, RunState, Task, TaskState
 from clayfield.pool.timing import PoolTiming
-from clayfield.pool.worker import CLOCK_DRIFT, TRANSIT_MS, Worker
+from clayfield.pool.worker import MAX_CLOCK_DRIFT, MAX_TRANSIT_MS, Worker
 from clayfield.wire.cluster import (
-    AskState,
     CancelJob,
-    JobCancelled,
+    CancelReply,
     JobEnded,
-    StateTold,
+    JobStateReply,
+    JobStateRequest,
     SubmitJob,
 )
-from clayfield.wire.jobs import JobState, Reason, Verdict
-from clayfield.wire.ledger import (
+from clayfield.wire.job_store import (
     AcceptJob,
-    CancelAccepted,
+    CancelKeptJob,
     EndTask,
     HolderLease,
     JobsLoaded,
     JobsWritten,
     KeptJob,
 )
+from clayfield.wire.jobs import JobState, Reason, Verdict
 from clayfield.wire.messages import Message
 
 # Above this number of open jobs more are refused; bounds memory and disk.
@@ -53,7 +57,7 @@
 # How much longer ended jobs are retained here than in the job store.
 RETENTION_MARGIN_MS = 30_000.0
 # Run numbers per epoch, so that those of a later holder are higher.
-RUNS_AN_EPOCH = 100
+RUNS_PER_EPOCH = 100
 # Allowance for delays in stopping runs and withholding leases.
 HANDOVER_MARGIN_MS = 100.0
 
@@ -82,7 +86,9 @@
 
     __slots__ = ("entry", "message", "received_ms")
 
-    def __init__(self, entry: str, message: AskState, received_ms: float):
+    def __init__(
+        self, entry: str, message: JobStateRequest, received_ms: float
+    ):
         self.entry = entry
         self.message = message
         self.received_ms = received_ms
@@ -95,47 +101,47 @@
     it, no tasks of kept jobs are placed and their runs are stopped.
 
     Attributes:
-        ledger: client of the job store.
+        store: client of the job store.
     """
 
     def __init__(
         self,
         clock: Clock,
-        ledger: JobLedger,
+        store: JobStoreClient,
         fleet: Fleet,
         jobs: JobTable,
         admission: Admission,
         admit: Admit,
         finish: Finish,
-        listened_since_ms: float,
+        listening_since_ms: float,
     ):
         """Creates a manager without jobs; the open ones are loaded later.
 
         Args:
             clock: source of the current time.
-            ledger: client of the job store.
+            store: client of the job store.
             fleet: the workers.
             jobs: all open jobs, kept or not.
             admission: expected durations and objectives of jobs.
             admit: returns whether a new job is admitted; refuses it if not.
             finish: ends an open job with a verdict, a reason and the time
                 after which to retry, in ms.
-            listened_since_ms: time since when this node has received the
+            listening_since_ms: time since when this node has received the
                 heartbeats of workers, in ms.
         """
-        self.ledger = ledger
+        self.store = store
         self._clock = clock
         self._fleet = fleet
         self._jobs = jobs
         self._admission = admission
         self._admit = admit
         self._finish = finish
-        self._listened_since_ms = listened_since_ms
+        self._listening_since_ms = listening_since_ms
         self._created_ms = clock.now_ms()
         self._loaded_ms = 0.0
         self._outcomes: dict[str, tuple[float, JobState]] = {}
         self._deferred_submits: list[tuple[str, SubmitJob]] = []
-        self._deferred_ends: list[tuple[EndedRow, Worker]] = []
+        self._deferred_ends: list[tuple[EndedRun, Worker]] = []
         self._unresolved: dict[str, OpenJob] = {}
         self._cancels: dict[str, list[tuple[str, int]]] = {}
         self._state_requests: dict[str, list[_StateRequest]] = {}
@@ -155,7 +161,7 @@
             existing.entries.add(entry)
         elif existing or key in self._outcomes:
             self._send(entry, JobEnded(key, Verdict.ACCEPTED, Reason.NONE, 0.0))
-        elif self.ledger.is_loaded:
+        elif self.store.is_loaded:
             self._accept(entry, submit)
         else:
             self._defer_submit(entry, submit)
@@ -177,7 +183,7 @@
     def _accept(self, entry: str, submit: SubmitJob) -> None:
         """Opens an admitted job and writes its acceptance; else refuses it."""
         job = submit.job
-        if not self.ledger.has_authority:
+        if not self.store.has_authority:
             self._refuse(entry, job.key, Reason.NOT_STORED)
             return
         if len(self._jobs.by_key) >= MAX_OPEN_JOBS:
@@ -188,7 +194,7 @@
         open_job.is_placeable = False
         self._jobs.add(open_job)
         if self._admit(open_job):
-            self.ledger.write(StoredChange(AcceptJob(job)))
+            self.store.write(JobChangeRecord(AcceptJob(job)))
 
     def _refuse(self, entry: str, key: str, reason: Reason) -> None:
         self._send(entry, JobEnded(key, Verdict.REFUSED, reason, RETRY_MS))
@@ -202,25 +208,25 @@
         open_job = self._jobs.by_key.get(key)
         if open_job is None:
             self._reply_to_cancel(entry, cancel)
-        elif open_job.outcome is JobState.CANCELLED:
+        elif open_job.pending_state is JobState.CANCELLED:
             self._cancels[key].append((entry, cancel.request))
-        elif open_job.outcome is not None:
-            self._send(entry, JobCancelled(cancel.request, True))
+        elif open_job.pending_state is not None:
+            self._send(entry, CancelReply(cancel.request, True))
         else:
-            open_job.outcome = JobState.CANCELLED
+            open_job.pending_state = JobState.CANCELLED
             self._cancels[key] = [(entry, cancel.request)]
-            self.ledger.write(StoredChange(CancelAccepted(key)))
+            self.store.write(JobChangeRecord(CancelKeptJob(key)))
 
     def _reply_to_cancel(self, entry: str, cancel: CancelJob) -> None:
         """Replies to a request to cancel a job that is not open."""
-        is_known = cancel.key in self._outcomes
-        is_authoritative = is_known or self._is_authoritative
-        reply = JobCancelled(
-            cancel.request, is_known if is_authoritative else None
+        is_found = cancel.key in self._outcomes
+        is_authoritative = is_found or self._is_authoritative
+        reply = CancelReply(
+            cancel.request, is_found if is_authoritative else None
         )
         self._send(entry, reply)
 
-    def on_ask(self, entry: str, message: AskState) -> None:
+    def on_state_request(self, entry: str, message: JobStateRequest) -> None:
         """Handles an entry node's request for the state of a job.
 
         Callers usually send it at about the time when a job ends, so the reply
@@ -237,7 +243,8 @@
         state = self._state_of(message.key)
         is_authoritative = state is not None or self._is_authoritative
         self._send(
-            pending.entry, StateTold(message.request, state, is_authoritative)
+            pending.entry,
+            JobStateReply(message.request, state, is_authoritative),
         )
 
     def _reply_overdue(self, now_ms: float) -> None:
@@ -254,46 +261,46 @@
         """Returns the state of a kept job, None if it is not known."""
         open_job = self._jobs.by_key.get(key)
         if open_job is not None and open_job.job.is_kept:
-            return JobState.RUNNING if open_job.is_offered else JobState.QUEUED
+            return JobState.RUNNING if open_job.is_started else JobState.QUEUED
         ended = self._outcomes.get(key)
         return ended[1] if ended else None
 
     @property
     def _is_authoritative(self) -> bool:
         """Whether a job that is not known here certainly does not exist."""
-        return self.ledger.is_loaded and self.ledger.has_authority
+        return self.store.is_loaded and self.store.has_authority
 
     @property
-    def is_used(self) -> bool:
+    def has_recent_jobs(self) -> bool:
         """Whether any kept job is open or ended recently."""
-        return bool(self._outcomes) or bool(self._jobs.kept())
+        return bool(self._outcomes) or bool(self._jobs.kept_jobs())
 
-    def waiting(self) -> dict[str, int]:
+    def waiting_counts(self) -> dict[str, int]:
         """Returns by queue the number of stored jobs with no task started."""
         counts: dict[str, int] = {}
-        for open_job in self._jobs.kept():
-            if open_job.is_stored and not open_job.is_offered:
+        for open_job in self._jobs.kept_jobs():
+            if open_job.is_stored and not open_job.is_started:
                 queue = open_job.job.queue
                 counts[queue] = counts.get(queue, 0) + 1
         return counts
 
     def _send(self, entry: str, message: Message) -> None:
-        self.ledger.actions.append(TellEntry(entry, message))
+        self.store.actions.append(SendToEntry(entry, message))
 
     # Ends of runs.
 
-    def on_run_end(self, run: Run, end: RunEnd, worker: Worker) -> None:
+    def on_run_end(self, run: Run, end: RunOutcome, worker: Worker) -> None:
         """Handles the end of a run of a kept job's task."""
         if run.task.state is TaskState.DONE:
             return
-        if end is RunEnd.LOST:
+        if end is RunOutcome.LOST:
             run.task.state = TaskState.WAITING
             self._jobs.enqueue(run.task.job)
             return
         self._record_end(
             run.task,
             run.number,
-            end is RunEnd.DONE,
+            end is RunOutcome.DONE,
             worker,
             run.end_sequence,
         )
@@ -302,7 +309,7 @@
         self,
         task: Task,
         number: int,
-        is_done: bool,
+        has_succeeded: bool,
         worker: Worker,
         sequence: int,
     ) -> None:
@@ -311,99 +318,99 @@
         Args:
             task: the task.
             number: the number of the run.
-            is_done: whether it succeeded; it failed otherwise.
+            has_succeeded: whether it succeeded; it failed otherwise.
             worker: the worker that reported the end.
             sequence: the worker's number of the end, 0 if it lists none.
         """
         open_job = task.job
-        if is_done:
+        if has_succeeded:
             counted_tasks = open_job.note_done(task)
         else:
             task.state = TaskState.WAITING
-            task.avoided.add(worker.name)
+            task.avoided_workers.add(worker.name)
             counted_tasks = [open_job.note_failure(task, number)]
         if sequence:
             # A rejected start request has no entry in the worker's list.
-            worker.await_storing(sequence)
+            worker.hold_ack(sequence)
         for counted in counted_tasks:
             change = EndTask(
                 counted.id.job,
                 counted.id.step,
                 counted.id.index,
                 number,
-                is_done,
-                counted.id.time,
+                has_succeeded,
+                counted.id.iteration,
             )
             open_job.unstored_ends += 1
-            self.ledger.write(StoredChange(change, worker.name, sequence))
+            self.store.write(JobChangeRecord(change, worker.name, sequence))
         self._decide_outcome(open_job, counted_tasks)
-        if open_job.outcome is None:
+        if open_job.pending_state is None:
             self._jobs.enqueue(open_job)
 
     def _decide_outcome(
         self, open_job: OpenJob, counted_tasks: list[Task]
     ) -> None:
         """Sets the outcome if all tasks are done or one failed too often."""
-        if open_job.outcome is not None:
+        if open_job.pending_state is not None:
             return
         failure_count = max(task.failures for task in counted_tasks)
         if open_job.is_done:
-            open_job.outcome = JobState.COMPLETED
+            open_job.pending_state = JobState.COMPLETED
         elif failure_count >= open_job.job.max_attempts:
-            open_job.outcome = JobState.FAILED
+            open_job.pending_state = JobState.FAILED
 
-    def on_foreign_end(self, row: EndedRow, worker: Worker) -> None:
+    def on_inherited_end(self, row: EndedRun, worker: Worker) -> None:
         """Handles the end of a run that an earlier holder started."""
-        if self.ledger.is_loaded:
+        if self.store.is_loaded:
             self._apply_inherited_end(row, worker)
             return
-        worker.await_storing(row.sequence)
+        worker.hold_ack(row.sequence)
         self._deferred_ends.append((row, worker))
 
-    def _apply_inherited_end(self, row: EndedRow, worker: Worker) -> None:
+    def _apply_inherited_end(self, row: EndedRun, worker: Worker) -> None:
         """Applies an inherited run's end, or ignores it if it has no effect."""
         open_job = self._jobs.by_key.get(row.task_id.job)
         if open_job is None or not open_job.job.is_kept:
-            worker.on_stored(row.sequence)
+            worker.on_end_stored(row.sequence)
             return
         task = open_job.task_of(row.task_id)
-        is_over = task.state is TaskState.DONE or task.step.is_lasting
+        is_over = task.state is TaskState.DONE or task.step.is_long_running
         if is_over or task.run is not None:
-            worker.on_stored(row.sequence)
+            worker.on_end_stored(row.sequence)
             return
-        open_job.is_offered = True
-        is_done = row.kind is EndKind.DONE
-        self._record_end(task, row.number, is_done, worker, row.sequence)
+        open_job.is_started = True
+        has_succeeded = row.kind is EndKind.DONE
+        self._record_end(task, row.number, has_succeeded, worker, row.sequence)
 
     # Messages of the control log's leader.
 
     def on_lease(self, node: str, lease: HolderLease) -> None:
         """Handles a leader's confirmation that this node is the holder."""
-        self.ledger.on_lease(node, lease)
+        self.store.on_lease(node, lease)
 
     def on_loaded(self, node: str, loaded: JobsLoaded) -> None:
         """Handles a part of the stored jobs; resumes them after the last."""
-        if not self.ledger.on_loaded(node, loaded):
+        if not self.store.on_loaded(node, loaded):
             return
         now_ms = self._clock.now_ms()
         self._loaded_ms = now_ms
-        kept_jobs = self.ledger.take_open()
+        kept_jobs = self.store.take_open_jobs()
         for kept_job in kept_jobs:
             self._restore_job(kept_job, now_ms)
-        for key, state in self.ledger.take_ended().items():
+        for key, state in self.store.take_ended_jobs().items():
             self._outcomes[key] = (now_ms, state)
         emit(
             Event.JOBS_LOADED,
-            epoch=self.ledger.epoch,
+            epoch=self.store.epoch,
             open_jobs=len(kept_jobs),
             ended_jobs=len(self._outcomes),
         )
-        self._fleet.ask_all()
+        self._fleet.poll_all()
         self._process_deferred()
 
     def _restore_job(self, kept_job: KeptJob, now_ms: float) -> None:
         """Opens a loaded job with the progress of its tasks."""
-        first_run = 1 + self.ledger.epoch * RUNS_AN_EPOCH
+        first_run = 1 + self.store.epoch * RUNS_PER_EPOCH
         open_job = OpenJob(
             kept_job.job, "", now_ms - kept_job.age_ms, first_run
         )
@@ -413,12 +420,12 @@
         for stage, indices in enumerate(kept_job.done):
             for index in indices:
                 open_job.tasks[stage][index].state = TaskState.DONE
-                open_job.is_offered = True
+                open_job.is_started = True
         for failed in kept_job.failures:
             task = open_job.tasks[failed.stage][failed.index]
             task.failures = failed.count
             task.last_failed_run = failed.last_run
-            open_job.is_offered = True
+            open_job.is_started = True
         open_job.late_at_ms = self._admission.late_at_ms(open_job)
         self._jobs.add(open_job)
         self._unresolved[kept_job.job.key] = open_job
@@ -436,14 +443,14 @@
 
     def on_written(self, written: JobsWritten) -> None:
         """Handles the confirmation that a write is stored."""
-        for stored in self.ledger.on_written(written):
+        for stored in self.store.on_written(written):
             match stored.change:
                 case AcceptJob(job=job):
                     self._on_accept_stored(job.key)
                 case EndTask(key=key):
-                    self._fleet.on_stored(stored.worker, stored.sequence)
+                    self._fleet.on_end_stored(stored.worker, stored.sequence)
                     self._on_end_stored(key)
-                case CancelAccepted(key=key):
+                case CancelKeptJob(key=key):
                     self._on_cancel_stored(key)
 
     def _on_accept_stored(self, key: str) -> None:
@@ -458,7 +465,7 @@
             queue=open_job.job.queue,
             age_ms=round(self._clock.now_ms() - open_job.arrived_ms),
             open_jobs=len(self._jobs.by_key),
-            epoch=self.ledger.epoch,
+            epoch=self.store.epoch,
         )
         accepted = JobEnded(key, Verdict.ACCEPTED, Reason.NONE, 0.0)
         for entry in open_job.entries:
@@ -472,16 +479,19 @@
         if open_job is None:
             return
         open_job.unstored_ends -= 1
-        is_ending = open_job.outcome in (JobState.COMPLETED, JobState.FAILED)
+        is_ending = open_job.pending_state in (
+            JobState.COMPLETED,
+            JobState.FAILED,
+        )
         if is_ending and not open_job.unstored_ends:
-            self._end_job(open_job, open_job.outcome)
+            self._end_job(open_job, open_job.pending_state)
 
     def _on_cancel_stored(self, key: str) -> None:
         open_job = self._jobs.by_key.get(key)
         if open_job is not None:
             self._end_job(open_job, JobState.CANCELLED)
         for entry, request in self._cancels.pop(key, ()):
-            self._send(entry, JobCancelled(request, True))
+            self._send(entry, CancelReply(request, True))
 
     def _end_job(self, open_job: OpenJob, state: JobState) -> None:
         """Ends a job whose outcome is stored."""
@@ -500,7 +510,7 @@
 
     def may_place(self, open_job: OpenJob) -> bool:
         """Returns whether tasks of a kept job may be started now."""
-        return open_job.outcome is None and self.ledger.has_authority
+        return open_job.pending_state is None and self.store.has_authority
 
     def tick(self) -> None:
         """Runs the periodic work: takeover, replies, authority and expiry."""
@@ -525,7 +535,7 @@
         The jobs' remaining tasks are placed once no unknown run of them can
         exist.
         """
-        for run in list(self._fleet.foreign.values()):
+        for run in list(self._fleet.inherited.values()):
             key = run.task_id.job
             if key in self._unresolved:
                 self._claim_run(self._unresolved[key], run)
@@ -536,7 +546,7 @@
         for open_job in self._unresolved.values():
             open_job.is_placeable = True
             self._jobs.enqueue(open_job)
-            for run in open_job.partial_gangs():
+            for run in open_job.runs_of_partial_gangs():
                 self._fleet.stop(run)
         self._unresolved.clear()
 
@@ -544,8 +554,8 @@
         """Returns whether every run of an earlier holder is known or over."""
         if now_ms - self._created_ms >= handover_ms(self._fleet.timing):
             return True
-        is_discovery_over = now_ms - self._listened_since_ms >= DISCOVERY_MS
-        return is_discovery_over and self._fleet.is_adopted_since(
+        is_discovery_over = now_ms - self._listening_since_ms >= DISCOVERY_MS
+        return is_discovery_over and self._fleet.is_synced_since(
             self._loaded_ms
         )
 
@@ -555,13 +565,13 @@
         if task.state is not TaskState.WAITING:
             return
         expected_ms = self._admission.expected_ms(open_job.job, task)
-        if self._fleet.claim(task, expected_ms):
+        if self._fleet.claim_inherited_run(task, expected_ms):
             task.state = TaskState.PLACED
-            open_job.is_offered = True
+            open_job.is_started = True
 
     def _check_authority(self, now_ms: float) -> None:
         """Stops runs of kept jobs that another holder may start elsewhere."""
-        has_authority = self.ledger.has_authority
+        has_authority = self.store.has_authority
         if has_authority != self._had_authority:
             self._had_authority = has_authority
             self._authority_changed_ms = now_ms
@@ -569,7 +579,7 @@
             if not has_authority:
                 event = Event.AUTHORITY_LOST
                 self._refuse_unsent()
-            emit(event, epoch=self.ledger.epoch)
+            emit(event, epoch=self.store.epoch)
         for worker in self._fleet.workers.values():
             if has_authority:
                 worker.is_lease_withheld = False
@@ -578,14 +588,14 @@
 
     def _refuse_unsent(self) -> None:
         """Refuses the jobs whose acceptance was never sent to a leader."""
-        for job in self.ledger.withdraw_jobs():
+        for job in self.store.withdraw_unsent_jobs():
             open_job = self._jobs.by_key.get(job.key)
             if open_job is not None:
                 self._finish(
                     open_job, Verdict.REFUSED, Reason.NOT_STORED, RETRY_MS
                 )
             for entry, request in self._cancels.pop(job.key, ()):
-                self._send(entry, JobCancelled(request, False))
+                self._send(entry, CancelReply(request, False))
 
     def _stop_kept_runs(self, worker: Worker, now_ms: float) -> None:
         """Stops a worker's runs of kept jobs and lets its lease expire.
@@ -596,7 +606,7 @@
         if kept_runs:
             worker.is_lease_withheld = True
         elif worker.has_unstored_ends:
-            worker.withhold_lease(self._authority_changed_ms, now_ms)
+            worker.update_lease_withholding(self._authority_changed_ms, now_ms)
         else:
             worker.is_lease_withheld = False
         for run in kept_runs:
@@ -615,5 +625,5 @@
     earlier holder stops its runs when its authority ends; where a stop request
     does not arrive, the last lease expires.
     """
-    lease_ms = timing.lease_ms * (1 + CLOCK_DRIFT) + TRANSIT_MS
+    lease_ms = timing.lease_ms * (1 + MAX_CLOCK_DRIFT) + MAX_TRANSIT_MS
     return AUTHORITY_MS + lease_ms + timing.stop_ms + HANDOVER_MARGIN_MS
--- a/packages/pool/src/clayfield/pool/placement.py
+++ b/packages/pool/src/clayfield/pool/placement.py
@@ -9,19 +9,19 @@
 import itertools
 from collections.abc import Iterable
 
-from clayfield.pool.advice import Advisor
 from clayfield.pool.tasks import Run, RunState, Task, TaskId
+from clayfield.pool.tickets import TicketCache
 from clayfield.pool.worker import Worker
 from clayfield.wire.jobs import Job, Step
 
 # Share of a worker's speed that remains if a task's data is in another rack.
 REMOTE_RACK_FACTOR = 0.67
 # With more workers than this, only a sample of them is compared for a task.
-MANY_WORKERS = 64
+SAMPLING_THRESHOLD = 64
 SAMPLE_SIZE = 16
 
 
-class RoomSearch:
+class WorkerSelector:
     """Selects workers for a series of tasks at one point in time.
 
     A step that did not fit any worker is recorded, so that later tasks of the
@@ -29,7 +29,7 @@
     """
 
     __slots__ = (
-        "_advisor",
+        "_tickets",
         "_misses",
         "_now_ms",
         "_offset",
@@ -38,16 +38,16 @@
     )
 
     def __init__(
-        self, workers: Iterable[Worker], advisor: Advisor, now_ms: float
+        self, workers: Iterable[Worker], tickets: TicketCache, now_ms: float
     ):
         """Creates a selector.
 
         Args:
             workers: the workers to select from.
-            advisor: tickets of the advised jobs.
+            tickets: tickets of the advised jobs.
             now_ms: the current time.
         """
-        self._advisor = advisor
+        self._tickets = tickets
         self._now_ms = now_ms
         self._workers = list(workers)
         self._open_by_name: dict[str, bool] = {}
@@ -60,14 +60,14 @@
         Workers on which the task has neither failed nor hung come first, then
         the faster ones, then those with least free CPU.
         """
-        kind = (task.job.job.service, task.step.requires)
+        kind = (task.job.job.service, task.step.required_label)
         misses = self._misses.setdefault(kind, [])
         if any(_needs_at_least(task.step, missed) for missed in misses):
             return None
         candidates = self._candidates(task)
         if not candidates:
             if task.job.job.is_advised:
-                self._advisor.ask(task, self._open_workers())
+                self._tickets.request_tickets(task, self._open_workers())
             elif not task.step.max_per_worker:
                 misses.append(task.step)
             return None
@@ -81,7 +81,7 @@
         """
         workers = self._allowed(task)
         limit = len(workers)
-        if limit > MANY_WORKERS and not task.step.rack:
+        if limit > SAMPLING_THRESHOLD and not task.step.rack:
             limit = SAMPLE_SIZE
             workers = self._rotated(workers)
         candidates: list[Worker] = []
@@ -105,17 +105,17 @@
         """Returns whether a worker accepts tasks; caches the result."""
         is_open = self._open_by_name.get(worker.name)
         if is_open is None:
-            is_open = worker.is_open(self._now_ms)
+            is_open = worker.accepts_tasks(self._now_ms)
             self._open_by_name[worker.name] = is_open
         return is_open
 
     def _open_workers(self) -> list[Worker]:
         return [worker for worker in self._workers if self._is_open(worker)]
 
-    def has_room_for(self, job: Job) -> bool:
+    def has_capacity_for(self, job: Job) -> bool:
         """Returns whether all tasks of a job would fit at once."""
         needed = job.task_count
-        cpu = max(step.room_cpu for step in job.steps)
+        cpu = max(step.reserved_cpu for step in job.steps)
         for worker in self._rotated(self._workers):
             is_of_service = worker.info.service == job.service
             if is_of_service and self._is_open(worker):
@@ -131,10 +131,10 @@
         return [
             worker
             for worker in self._workers
-            if self._advisor.ticket(task, worker.name)
+            if self._tickets.ticket(task, worker.name)
         ]
 
-    def find_together(self, tasks: list[Task]) -> list[Worker] | None:
+    def find_for_gang(self, tasks: list[Task]) -> list[Worker] | None:
         """Returns a worker for each task of a gang, None if they do not fit.
 
         If the gang prefers one rack, each rack is tried before all workers.
@@ -151,14 +151,14 @@
             if self._is_open(worker)
         ]
         groups = [allowed]
-        if tasks[0].step.wants_one_rack:
+        if tasks[0].step.prefers_one_rack:
             groups = [*_racks(allowed), allowed]
         for group in groups:
             found = _find_all(tasks, group)
             if found:
                 return found
         if tasks[0].job.job.is_advised:
-            self._advisor.ask(tasks[0], self._open_workers())
+            self._tickets.request_tickets(tasks[0], self._open_workers())
         return None
 
 
@@ -198,7 +198,7 @@
 def _needs_at_least(step: Step, other: Step) -> bool:
     """Returns whether a step's tasks need all that another's need."""
     return (
-        step.room_cpu >= other.room_cpu
+        step.reserved_cpu >= other.reserved_cpu
         and step.memory_mb >= other.memory_mb
         and step.gpu >= other.gpu
     )
@@ -209,7 +209,7 @@
     step = task.step
     if worker.info.service != task.job.job.service:
         return False
-    if step.requires and step.requires not in worker.info.labels:
+    if step.required_label and step.required_label not in worker.info.labels:
         return False
     if not worker.fits(step) or task.id in worker.runs:
         return False
@@ -231,7 +231,7 @@
     Batch tasks reserve nothing, so those on the worker are subtracted.
     """
     batch_runs = sum(
-        run.task is not None and run.task.step.fills
+        run.task is not None and run.task.step.is_batch
         for run in worker.runs.values()
     )
     return worker.free_cpu - batch_runs * task.step.cpu
@@ -239,10 +239,10 @@
 
 def _is_of_step(task_id: TaskId, other: TaskId) -> bool:
     """Returns whether two tasks are of one step in one iteration."""
-    return (task_id.job, task_id.step, task_id.time) == (
+    return (task_id.job, task_id.step, task_id.iteration) == (
         other.job,
         other.step,
-        other.time,
+        other.iteration,
     )
 
 
@@ -252,7 +252,7 @@
     if task.step.rack and task.step.rack not in worker.info.labels:
         speed *= REMOTE_RACK_FACTOR
     return (
-        worker.name in task.avoided,
+        worker.name in task.avoided_workers,
         -round(speed, 1),
-        -_spare_cpu(worker, task) if task.step.fills else worker.free_cpu,
+        -_spare_cpu(worker, task) if task.step.is_batch else worker.free_cpu,
     )
--- a/packages/pool/src/clayfield/pool/holds.py
+++ b/packages/pool/src/clayfield/pool/polling.py
@@ -26,7 +26,7 @@
 MS_PER_S = 1000.0
 
 
-class HoldSchedule:
+class PollSchedule:
     """Decides when the holder polls its workers.
 
     Attributes:
@@ -61,7 +61,7 @@
 
     def wait_ms(self, worker: Worker) -> int:
         """Returns how long a worker may delay its next reply, in ms."""
-        if not worker.is_reachable or not worker.is_adopted:
+        if not worker.is_reachable or not worker.is_synced:
             return 0
         if worker.runs or worker.has_unstored_ends:
             return POLL_WAIT_MS
@@ -115,8 +115,8 @@
         return [
             worker
             for worker in self._workers.values()
-            if worker.obeyed_ms <= self.sync_after_ms
-            and worker.is_adopted
+            if worker.synced_ms <= self.sync_after_ms
+            and worker.is_synced
             and worker.is_reachable
             and worker.name not in self._syncing
             and self.try_start_sync(worker)
