--- a/packages/pool/src/clayfield/pool/role.py
+++ b/packages/pool/src/clayfield/pool/role.py
@@ -17,19 +17,19 @@
 # holder or to a control node elsewhere.
 ISOLATED_MS = 300.0
 # Fencing tokens per epoch, so that those of a later grant are higher.
-FENCES_AN_EPOCH = 4
+FENCES_PER_EPOCH = 4
 # Added to the holder's fencing token for the standbys of the same grant.
 STANDBY_FENCE_OFFSET = 1
 
 
 def holder_fence(epoch: int) -> int:
     """Returns the fencing token of a grant's holder."""
-    return epoch * FENCES_AN_EPOCH
+    return epoch * FENCES_PER_EPOCH
 
 
 def standby_fence(epoch: int) -> int:
     """Returns the fencing token of a grant's standbys, above the holder's."""
-    return epoch * FENCES_AN_EPOCH + STANDBY_FENCE_OFFSET
+    return epoch * FENCES_PER_EPOCH + STANDBY_FENCE_OFFSET
 
 
 class Role:
@@ -107,7 +107,7 @@
         self.uses_standby = False
         return is_same
 
-    def note_outside(self, greetings: Iterable[NodeGreeting]) -> None:
+    def update_reachability(self, greetings: Iterable[NodeGreeting]) -> None:
         """Records whether a node outside of this hall's partition is connected.
 
         Args:
--- a/packages/pool/src/clayfield/pool/tasks.py
+++ b/packages/pool/src/clayfield/pool/tasks.py
@@ -34,13 +34,13 @@
         job: key of the job.
         step: number of the step within the job.
         index: number of the task within the step.
-        time: number of the schedule's iteration, 0 without a schedule.
+        iteration: number of the schedule's iteration, 0 without a schedule.
     """
 
     job: str
     step: int
     index: int
-    time: int = 0
+    iteration: int = 0
 
 
 class RunState(enum.Enum):
@@ -78,15 +78,15 @@
         last_failed_run: number of the latest failed run.
         last_run: number of the latest run.
         run: the present run, None if there is none.
-        avoided: names of the workers on which a run of the task failed or
-            hung.
-        was_moved: whether a hung run of the task was stopped already.
+        avoided_workers: names of the workers on which a run of the task failed
+            or hung.
+        was_relocated: whether a hung run of the task was stopped already.
         checkpoint: the checkpoint from which the next run resumes, "" if
             there is none.
     """
 
     __slots__ = (
-        "avoided",
+        "avoided_workers",
         "checkpoint",
         "failures",
         "id",
@@ -96,7 +96,7 @@
         "run",
         "state",
         "step",
-        "was_moved",
+        "was_relocated",
     )
 
     def __init__(self, job: "OpenJob", task_id: TaskId, step: Step):
@@ -108,14 +108,14 @@
         self.last_failed_run = 0
         self.last_run = job.first_run - 1
         self.run: Run | None = None
-        self.avoided: set[str] = set()
-        self.was_moved = False
+        self.avoided_workers: set[str] = set()
+        self.was_relocated = False
         self.checkpoint = ""
 
-    def keep_progress(self, run: "Run") -> None:
+    def update_checkpoint(self, run: "Run") -> None:
         """Takes over an ended run's checkpoint for the next run."""
-        if self.step.is_checkpointing and run.saved:
-            self.checkpoint = run.saved
+        if self.step.is_checkpointing and run.checkpoint:
+            self.checkpoint = run.checkpoint
 
 
 class Run:
@@ -133,32 +133,33 @@
         cpu: reserved CPU, in thousandths of a core.
         memory_mb: reserved memory.
         gpu: reserved number of accelerators.
-        since_ms: time of the latest start or stop command.
-        answered_ms: time when the start was confirmed, None before.
+        commanded_ms: time of the latest start or stop command.
+        confirmed_ms: time when the start was confirmed, None before.
         work_ms: expected duration on a worker of usual speed, in ms.
         expected_ms: expected duration on its worker, in ms.
         stopped_ms: time when the worker confirmed the stop, None before.
-        saved: the latest checkpoint that the worker has reported, "" for
+        checkpoint: the latest checkpoint that the worker has reported, "" for
             none.
-        percent: share of full speed at which the run may work, in percent.
-        figure: tail latency that the worker last reported for a
+        speed_percent: share of full speed at which the run may work, in
+            percent.
+        tail_latency_ms: tail latency that the worker last reported for a
             latency-sensitive run, in ms; None if it has reported none.
         end_sequence: sequence number of the run's end on its worker, 0
             before.
     """
 
     __slots__ = (
-        "answered_ms",
+        "confirmed_ms",
         "cpu",
         "end_sequence",
         "expected_ms",
-        "figure",
+        "tail_latency_ms",
         "gpu",
         "memory_mb",
         "number",
-        "percent",
-        "saved",
-        "since_ms",
+        "speed_percent",
+        "checkpoint",
+        "commanded_ms",
         "state",
         "stopped_ms",
         "task",
@@ -174,23 +175,23 @@
         worker: str,
         task: Task | None,
         state: RunState,
-        since_ms: float,
+        commanded_ms: float,
     ):
         self.task_id = task_id
         self.number = number
         self.worker = worker
         self.task = task
         self.state = state
-        self.since_ms = since_ms
-        self.answered_ms: float | None = None
+        self.commanded_ms = commanded_ms
+        self.confirmed_ms: float | None = None
         self.stopped_ms: float | None = None
-        self.saved = ""
-        self.percent = 100
-        self.figure: float | None = None
+        self.checkpoint = ""
+        self.speed_percent = 100
+        self.tail_latency_ms: float | None = None
         self.end_sequence = 0
         self.work_ms = 0.0
         self.expected_ms = 0.0
-        self.cpu = task.step.room_cpu if task else 0
+        self.cpu = task.step.reserved_cpu if task else 0
         self.memory_mb = task.step.memory_mb if task else 0
         self.gpu = task.step.gpu if task else 0
 
@@ -210,7 +211,7 @@
             self.expected_ms, OVERDUE_FACTOR, OVERDUE_MARGIN_MS, now_ms
         )
 
-    def is_stuck(self, now_ms: float) -> bool:
+    def is_hung(self, now_ms: float) -> bool:
         """Returns whether the run takes so long that it counts as hung.
 
         The limit depends on the other runs of the step where there are any,
@@ -231,12 +232,12 @@
         self, usual_ms: float, factor: float, margin_ms: float, now_ms: float
     ) -> bool:
         """Returns whether the run is confirmed and past a time limit."""
-        if self.answered_ms is None or usual_ms <= 0:
+        if self.confirmed_ms is None or usual_ms <= 0:
             return False
-        return now_ms - self.answered_ms > usual_ms * factor + margin_ms
+        return now_ms - self.confirmed_ms > usual_ms * factor + margin_ms
 
     @property
-    def is_foreign(self) -> bool:
+    def is_inherited(self) -> bool:
         """Whether the run was started by an earlier holder and is unclaimed."""
         return self.task is None
 
@@ -251,22 +252,22 @@
         entries: the entry nodes that wait for its end.
         arrived_ms: time when it arrived at its first entry node.
         first_run: number of the first run of each task.
-        released: number of iterations that have come due.
+        due_iterations: number of iterations that have come due.
         tasks: tasks by stage; a stage is one step in one iteration.
         late_at_ms: time after which the job cannot end in time any more.
         is_late: whether that time has come; late jobs go after all others.
-        is_offered: whether any task of the job was sent to a worker.
+        is_started: whether any task of the job was sent to a worker.
         is_placeable: whether tasks of the job may be started yet.
         is_stored: whether the job is a kept job in stable storage.
-        outcome: how a kept job will have ended once that is stored, None
+        pending_state: how a kept job will have ended once that is stored, None
             while it is unfinished.
         unstored_ends: number of ends of its runs that are not stored yet.
         is_ended: whether the job has ended and its callers got a reply.
         forecast_ms: latest forecast of the time from arrival to end, in ms.
         longest_runs_ms: longest successful run of each step, converted to a
             worker of usual speed, in ms; 0 if there is none.
-        starts: number of starts that were sent.
-        placed_on: names of the workers that the starts were sent to.
+        start_count: number of starts that were sent.
+        used_workers: names of the workers that the starts were sent to.
     """
 
     __slots__ = (
@@ -276,16 +277,16 @@
         "forecast_ms",
         "is_ended",
         "is_late",
-        "is_offered",
+        "is_started",
         "is_placeable",
         "is_stored",
         "job",
         "late_at_ms",
         "longest_runs_ms",
-        "outcome",
-        "placed_on",
-        "released",
-        "starts",
+        "pending_state",
+        "used_workers",
+        "due_iterations",
+        "start_count",
         "tasks",
         "unstored_ends",
     )
@@ -305,33 +306,33 @@
         self.first_run = first_run
         self.late_at_ms = math.inf
         self.is_late = False
-        self.is_offered = False
+        self.is_started = False
         self.is_placeable = True
         self.is_stored = False
-        self.outcome: JobState | None = None
+        self.pending_state: JobState | None = None
         self.unstored_ends = 0
         self.is_ended = False
         self.forecast_ms = 0.0
         self.longest_runs_ms = [0.0] * len(job.steps)
-        self.starts = 0
-        self.placed_on: set[str] = set()
-        self.released = 0 if job.schedule else 1
+        self.start_count = 0
+        self.used_workers: set[str] = set()
+        self.due_iterations = 0 if job.schedule else 1
         self.tasks = [
             [
                 Task(self, TaskId(job.key, number, index, iteration), step)
                 for index in range(step.count)
             ]
-            for iteration in range(job.times)
+            for iteration in range(job.iteration_count)
             for number, step in enumerate(job.steps)
         ]
 
     @property
-    def is_lasting(self) -> bool:
+    def is_long_running(self) -> bool:
         """Whether the job has tasks that run until it is cancelled."""
-        return any(step.is_lasting for step in self.job.steps)
+        return any(step.is_long_running for step in self.job.steps)
 
     @property
-    def turn(self) -> tuple[int, float]:
+    def sort_key(self) -> tuple[int, float]:
         """Sort key among the jobs that are not late; lower goes first."""
         return self.job.priority, self.arrived_ms
 
@@ -350,29 +351,29 @@
         longest = self.longest_runs_ms
         longest[step] = max(longest[step], took_ms)
 
-    def release(self, wall_ms: float) -> bool:
+    def release_due(self, wall_ms: float) -> bool:
         """Releases the iterations that are due; returns whether any was.
 
         Args:
             wall_ms: the time of day, in ms since 1970.
         """
         schedule = self.job.schedule
-        previous = self.released
-        while self.released < self.job.times:
-            if wall_ms < schedule.due_ms(self.released):
+        previous = self.due_iterations
+        while self.due_iterations < self.job.iteration_count:
+            if wall_ms < schedule.due_ms(self.due_iterations):
                 break
-            self.released += 1
-        return self.released > previous
+            self.due_iterations += 1
+        return self.due_iterations > previous
 
     # Tasks.
 
-    def tasks_of(self, task_id: TaskId) -> list[Task]:
+    def sibling_tasks(self, task_id: TaskId) -> list[Task]:
         """Returns all tasks of a task's step and iteration."""
-        return self.tasks[self.job.stage_of(task_id.step, task_id.time)]
+        return self.tasks[self.job.stage_of(task_id.step, task_id.iteration)]
 
     def task_of(self, task_id: TaskId) -> Task:
         """Returns the task with an identity."""
-        return self.tasks_of(task_id)[task_id.index]
+        return self.sibling_tasks(task_id)[task_id.index]
 
     def all_tasks(self) -> list[Task]:
         """Returns all tasks of the job."""
@@ -387,14 +388,14 @@
         """Whether all tasks of the job are done."""
         return all(self.is_stage_done(n) for n in range(len(self.tasks)))
 
-    def waiting_steps(self) -> list[list[Task]]:
+    def ready_tasks(self) -> list[list[Task]]:
         """Returns the waiting tasks that may be placed now, by step.
 
         Of a gang these are all tasks, or none while any of them has a run.
         """
         ready = [
             self._ready_tasks(number, step, iteration)
-            for iteration in range(self.released)
+            for iteration in range(self.due_iterations)
             for number, step in enumerate(self.job.steps)
         ]
         return [tasks for tasks in ready if tasks]
@@ -417,13 +418,13 @@
 
     # Ends of runs and gangs.
 
-    def gang_of(self, task: Task) -> list[Task]:
+    def gang_tasks(self, task: Task) -> list[Task]:
         """Returns all tasks of a task's gang, or the task alone."""
-        return self.tasks_of(task.id) if task.step.is_gang else [task]
+        return self.sibling_tasks(task.id) if task.step.is_gang else [task]
 
     def note_done(self, task: Task) -> list[Task]:
         """Marks a task, or its gang, as done; returns the marked tasks."""
-        members = self.gang_of(task)
+        members = self.gang_tasks(task)
         for member in members:
             member.state = TaskState.DONE
         return members
@@ -438,7 +439,7 @@
         Returns:
             The task at which the failure is counted.
         """
-        counted = self.gang_of(task)[0]
+        counted = self.gang_tasks(task)[0]
         if run > counted.last_failed_run:
             counted.last_failed_run = run
             counted.failures += 1
@@ -450,11 +451,11 @@
             return []
         return [
             member.run
-            for member in self.gang_of(task)
+            for member in self.gang_tasks(task)
             if member.run is not None
         ]
 
-    def partial_gangs(self) -> list["Run"]:
+    def runs_of_partial_gangs(self) -> list["Run"]:
         """Returns the runs of gangs of which some tasks are not placed."""
         runs: list[Run] = []
         for tasks in self.tasks:
--- a/packages/pool/src/clayfield/pool/pacing.py
+++ b/packages/pool/src/clayfield/pool/throttling.py
@@ -26,7 +26,7 @@
 MAX_PERCENT = 100
 
 
-def choose_pace(worker: Worker, now_ms: float) -> dict[Run, int]:
+def choose_throttles(worker: Worker, now_ms: float) -> dict[Run, int]:
     """Returns the batch runs on a worker whose speed is to change.
 
     Adapts the worker's interval between raises.
@@ -45,29 +45,35 @@
     if latency_share > 1.0:
         doubled_ms = worker.raise_interval_ms * 2
         worker.raise_interval_ms = min(MAX_RAISE_INTERVAL_MS, doubled_ms)
-        return {run: _reduce(run.percent) for run in batch_runs if run.percent}
+        return {
+            run: _reduce(run.speed_percent)
+            for run in batch_runs
+            if run.speed_percent
+        }
     is_due = now_ms - worker.throttled_ms >= worker.raise_interval_ms
     if latency_share >= RAISE_BELOW_SHARE or not is_due:
         return {}
     halved_ms = worker.raise_interval_ms / 2
     worker.raise_interval_ms = max(MIN_RAISE_INTERVAL_MS, halved_ms)
     return {
-        run: min(MAX_PERCENT, run.percent + RAISE_PERCENT)
+        run: min(MAX_PERCENT, run.speed_percent + RAISE_PERCENT)
         for run in batch_runs
-        if run.percent < MAX_PERCENT
+        if run.speed_percent < MAX_PERCENT
     }
 
 
 def _is_batch(run: Run) -> bool:
-    return run.task is not None and run.task.step.fills
+    return run.task is not None and run.task.step.is_batch
 
 
 def _latency_share(worker: Worker) -> float:
     """Returns the highest tail latency, as a share of its target."""
     shares = [
-        run.figure / run.task.step.target_ms
+        run.tail_latency_ms / run.task.step.target_ms
         for run in worker.runs.values()
-        if run.task and run.task.step.target_ms and run.figure is not None
+        if run.task
+        and run.task.step.target_ms
+        and run.tail_latency_ms is not None
     ]
     return max(shares, default=0.0)
 
--- a/packages/pool/src/clayfield/pool/advice.py
+++ b/packages/pool/src/clayfield/pool/tickets.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from clayfield.base import Clock
-from clayfield.pool.orders import Advice, AskAdvisor
+from clayfield.pool.commands import Advice, RequestAdvice
 from clayfield.pool.tasks import OpenJob, Task
 from clayfield.pool.worker import Worker
 
@@ -50,7 +50,7 @@
         self.valid_until_ms: dict[str, float] = {}
 
 
-class Advisor:
+class TicketCache:
     """Requests and caches the tickets of the holder's advised jobs.
 
     Attributes:
@@ -58,7 +58,7 @@
     """
 
     def __init__(self, clock: Clock):
-        self.actions: list[AskAdvisor] = []
+        self.actions: list[RequestAdvice] = []
         self._clock = clock
         self._steps: dict[tuple[str, int], _StepTickets] = {}
         self._calls: dict[int, _StepTickets] = {}
@@ -79,7 +79,7 @@
             return ""
         return step_tickets.tickets[worker]
 
-    def ask(self, task: Task, workers: Iterable[Worker]) -> None:
+    def request_tickets(self, task: Task, workers: Iterable[Worker]) -> None:
         """Requests tickets for workers that are large enough for a step.
 
         Does nothing while a request for the step is open or delayed, or while
@@ -110,7 +110,7 @@
             for worker in workers
             if worker.name not in step_tickets.denied
             and not self.ticket(task, worker.name)
-            and worker.could_fit(task.step)
+            and worker.fits_when_idle(task.step)
         ]
         candidates.sort(key=lambda worker: -worker.free_cpu)
         return [worker.name for worker in candidates[:MAX_WORKERS_PER_CALL]]
@@ -122,25 +122,29 @@
         self._calls[self._last_call] = step_tickets
         step_tickets.requested = names
         self.actions.append(
-            AskAdvisor(
-                self._last_call, task.id.job, task.id.time, task.id.step, names
+            RequestAdvice(
+                self._last_call,
+                task.id.job,
+                task.id.iteration,
+                task.id.step,
+                names,
             )
         )
 
-    def on_advice(self, call: int, advice: Advice) -> None:
+    def on_advice(self, request_id: int, advice: Advice) -> None:
         """Handles the advisor's reply.
 
         Args:
-            call: number of the request.
+            request_id: number of the request.
             advice: the reply.
         """
-        step_tickets = self._calls.pop(call, None)
+        step_tickets = self._calls.pop(request_id, None)
         if step_tickets is None:
             return
         requested = step_tickets.requested or []
         step_tickets.requested = None
         now_ms = self._clock.now_ms()
-        if not advice.is_answer:
+        if not advice.is_reply:
             step_tickets.next_call_ms = now_ms + RETRY_MS
             return
         step_tickets.denied.update(set(requested) - advice.tickets.keys())
@@ -154,7 +158,7 @@
         if step_tickets:
             step_tickets.valid_until_ms.pop(worker, None)
 
-    def forget(self, open_job: OpenJob) -> None:
+    def forget_job(self, open_job: OpenJob) -> None:
         """Removes the tickets of a job."""
         for stage in range(len(open_job.tasks)):
             self._steps.pop((open_job.job.key, stage), None)
@@ -162,4 +166,4 @@
 
 def _key(task: Task) -> tuple[str, int]:
     """Returns the job key and stage under which a task's tickets are stored."""
-    return task.id.job, task.job.job.stage_of(task.id.step, task.id.time)
+    return task.id.job, task.job.job.stage_of(task.id.step, task.id.iteration)
--- a/packages/pool/src/clayfield/pool/worker.py
+++ b/packages/pool/src/clayfield/pool/worker.py
@@ -9,9 +9,9 @@
 from clayfield.wire.jobs import Step, WorkerInfo, WorkerState
 
 # Greatest relative drift of a worker's clock against the holder's.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 # Allowance for the transit of a command that renews a lease.
-TRANSIT_MS = 60.0
+MAX_TRANSIT_MS = 60.0
 # Weight of a new sample in the running mean of a worker's speed.
 SPEED_WEIGHT = 0.15
 # The same for a sample below `SLOW_SAMPLE_SHARE` of the mean, which is a
@@ -41,9 +41,9 @@
             has listed.
         is_lease_withheld: whether the lease is not renewed, so that it
             lapses and the runs on the worker end.
-        is_adopted: whether the worker has accepted a poll of this holder,
+        is_synced: whether the worker has accepted a poll of this holder,
             and no fencing error since; its runs are then known.
-        is_gone: whether this incarnation has certainly ended.
+        is_removed: whether this incarnation has certainly ended.
         is_reachable: False after a poll without a reply or a command that
             could not be sent, until a poll succeeds.
         unreachable_since_ms: time since which the worker is unreachable.
@@ -51,7 +51,7 @@
         open_poll: number of the open poll, 0 if there is none.
         poll_wait_ms: how long the worker may delay its reply to the open
             poll, in ms.
-        next_hold_ms: time of the next poll.
+        next_poll_ms: time of the next poll.
         lease_ends_ms: time by which the last lease has certainly lapsed.
         throttled_ms: time of the latest change of speed of a batch run.
         raise_interval_ms: least time from then to a raise of the speed, in
@@ -60,7 +60,7 @@
             standby leaves to the holder.
         lapsed_ms: time when the lease was last known to have lapsed.
         last_reply_ms: time of the latest reply.
-        obeyed_ms: sending time of the latest poll that the worker accepted.
+        synced_ms: sending time of the latest poll that the worker accepted.
         speed: running mean of the expected duration of runs divided by the
             actual one; 1 for a worker of usual speed.
     """
@@ -76,8 +76,8 @@
         "_unstored_ends",
         "deferred_end_ms",
         "info",
-        "is_adopted",
-        "is_gone",
+        "is_synced",
+        "is_removed",
         "is_lease_withheld",
         "is_reachable",
         "lapsed_ms",
@@ -85,8 +85,8 @@
         "last_poll",
         "last_reply_ms",
         "lease_ends_ms",
-        "next_hold_ms",
-        "obeyed_ms",
+        "next_poll_ms",
+        "synced_ms",
         "open_poll",
         "poll_wait_ms",
         "raise_interval_ms",
@@ -113,17 +113,17 @@
         self.throttled_ms = 0.0
         self.raise_interval_ms = 600.0
         self.deferred_end_ms = 0.0
-        self.is_adopted = False
-        self.is_gone = False
+        self.is_synced = False
+        self.is_removed = False
         self.is_reachable = True
         self.unreachable_since_ms = now_ms
         self.last_poll = first_poll
         self.open_poll = 0
         self.poll_wait_ms = 0
-        self.next_hold_ms = now_ms
+        self.next_poll_ms = now_ms
         self.lease_ends_ms = now_ms
         self.last_reply_ms = now_ms
-        self.obeyed_ms = -1.0
+        self.synced_ms = -1.0
         self.speed = 1.0
         self._clock_offset_ms: float | None = None
         self._free_cpu = info.cpu
@@ -153,15 +153,15 @@
     def fits(self, step: Step) -> bool:
         """Returns whether a task of a step fits the free capacity."""
         return (
-            step.room_cpu <= self._free_cpu
+            step.reserved_cpu <= self._free_cpu
             and step.memory_mb <= self._free_memory_mb
             and step.gpu <= self._free_gpu
         )
 
-    def could_fit(self, step: Step) -> bool:
+    def fits_when_idle(self, step: Step) -> bool:
         """Returns whether a task of a step would fit the idle worker."""
         return (
-            step.room_cpu <= self.info.cpu
+            step.reserved_cpu <= self.info.cpu
             and step.memory_mb <= self.info.memory_mb
             and step.gpu <= self.info.gpu
         )
@@ -185,7 +185,7 @@
     # Ends of runs.
 
     @property
-    def seen_upto(self) -> int:
+    def acked_sequence(self) -> int:
         """Sequence number up to which the worker may discard ends."""
         if not self._unstored_ends:
             return self.last_end_sequence
@@ -196,11 +196,11 @@
         """Whether ends must stay on the worker until they are stored."""
         return bool(self._unstored_ends)
 
-    def await_storing(self, sequence: int) -> None:
-        """Keeps an end on the worker's list until `on_stored` is called."""
+    def hold_ack(self, sequence: int) -> None:
+        """Keeps an end on the worker's list until `on_end_stored` is called."""
         self._unstored_ends.add(sequence)
 
-    def on_stored(self, sequence: int) -> None:
+    def on_end_stored(self, sequence: int) -> None:
         """Handles the confirmation that an end is in stable storage."""
         self._unstored_ends.discard(sequence)
 
@@ -221,10 +221,10 @@
 
     def on_lease_sent(self, now_ms: float, lease_ms: float) -> None:
         """Records that a command that renews the lease was sent."""
-        ends_ms = now_ms + lease_ms * (1 + CLOCK_DRIFT) + TRANSIT_MS
+        ends_ms = now_ms + lease_ms * (1 + MAX_CLOCK_DRIFT) + MAX_TRANSIT_MS
         self.lease_ends_ms = max(self.lease_ends_ms, ends_ms)
 
-    def withhold_lease(self, since_ms: float, now_ms: float) -> None:
+    def update_lease_withholding(self, since_ms: float, now_ms: float) -> None:
         """Withholds the lease until it has lapsed once after a time.
 
         The tasks of the ends that the worker lists may then be started
@@ -254,7 +254,7 @@
             return
         self._add_speed_sample(work_ms / took_ms)
 
-    def on_stuck(self, passed_ms: float, work_ms: float, now_ms: float) -> None:
+    def on_hung(self, passed_ms: float, work_ms: float, now_ms: float) -> None:
         """Suspends the worker because of a hung run.
 
         Args:
@@ -263,7 +263,7 @@
             now_ms: the current time.
         """
         self._add_speed_sample(work_ms / passed_ms)
-        self.set_aside(now_ms, "run hung")
+        self.suspend(now_ms, "run hung")
 
     def _add_speed_sample(self, sample: float) -> None:
         sample = min(MAX_SPEED, max(MIN_SPEED, sample))
@@ -286,9 +286,9 @@
         if job not in self._failed_jobs:
             self._failed_jobs.append(job)
         if len(self._failed_jobs) >= FAILED_JOBS:
-            self.set_aside(now_ms, f"{len(self._failed_jobs)} jobs failed")
+            self.suspend(now_ms, f"{len(self._failed_jobs)} jobs failed")
 
-    def set_aside(self, now_ms: float, cause: str) -> None:
+    def suspend(self, now_ms: float, cause: str) -> None:
         """Suspends the worker: it gets no new tasks for a while.
 
         The suspension doubles each time, up to a limit, until a run succeeds.
@@ -309,19 +309,19 @@
         self._suspension_ms = min(MAX_SUSPENSION_MS, self._suspension_ms * 2)
 
     @property
-    def is_known(self) -> bool:
+    def has_known_usage(self) -> bool:
         """Whether the resource usage of all runs on the worker is known."""
-        return not any(run.is_foreign for run in self.runs.values())
+        return not any(run.is_inherited for run in self.runs.values())
 
-    def is_open(self, now_ms: float) -> bool:
+    def accepts_tasks(self, now_ms: float) -> bool:
         """Returns whether new tasks may be placed on the worker."""
         return (
-            self.is_adopted
+            self.is_synced
             and self.is_reachable
-            and not self.is_gone
+            and not self.is_removed
             and not self.is_draining
             and not self.is_lease_withheld
             and now_ms >= self._suspended_until_ms
-            and self.is_known
-            and not any(run.is_stuck(now_ms) for run in self.runs.values())
+            and self.has_known_usage
+            and not any(run.is_hung(now_ms) for run in self.runs.values())
         )
--- a/packages/state/src/clayfield/state/__init__.py
+++ b/packages/state/src/clayfield/state/__init__.py
@@ -2,41 +2,41 @@
 
 from clayfield.state._members import encode_members
 from clayfield.state.claims import (
-    Advance,
+    AdvanceTime,
     ClaimTable,
-    Open,
+    OpenTable,
     OwnerLost,
     encode_commands,
 )
 from clayfield.state.configlog import ApplyResult, ConfigLog
 from clayfield.state.consensus import Consensus, Ready, Role, Timing
-from clayfield.state.homes import hall_replicas, home_hall, owned_key
-from clayfield.state.log import Log, Replayed, replay
+from clayfield.state.key_location import hall_replicas, home_hall, member_key
+from clayfield.state.log import Log, RestoredState, replay
 from clayfield.state.records import (
     ANY_RECORD,
     Append,
-    Born,
     HardState,
+    LogCreated,
     Record,
     Snapshot,
 )
 
 __all__ = [
     "ANY_RECORD",
-    "Advance",
+    "AdvanceTime",
     "Append",
-    "Born",
+    "LogCreated",
     "ApplyResult",
     "ClaimTable",
     "ConfigLog",
     "Consensus",
     "HardState",
     "Log",
-    "Open",
+    "OpenTable",
     "OwnerLost",
     "Ready",
     "Record",
-    "Replayed",
+    "RestoredState",
     "Role",
     "Snapshot",
     "Timing",
@@ -44,6 +44,6 @@
     "encode_members",
     "hall_replicas",
     "home_hall",
-    "owned_key",
+    "member_key",
     "replay",
 ]
--- a/packages/state/src/clayfield/state/_elections.py
+++ b/packages/state/src/clayfield/state/_elections.py
@@ -20,7 +20,7 @@
 
     __slots__ = (
         "_clock",
-        "_election_ms",
+        "_election_timeout_ms",
         "_election_timeout_factor",
         "_leader_contact_ms",
         "_rng",
@@ -32,25 +32,25 @@
         self,
         clock: Clock,
         rng: random.Random,
-        election_ms: float,
-        patience: float,
+        election_timeout_ms: float,
+        election_timeout_factor: float,
     ):
         """Schedules an election after a random election timeout.
 
         Args:
             clock: source of the current time.
             rng: randomizes the election timeout.
-            election_ms: election timeout, in ms.
-            patience: factor of the election timeout.
+            election_timeout_ms: election timeout, in ms.
+            election_timeout_factor: factor of the election timeout.
         """
         self._clock = clock
         self._rng = rng
-        self._election_ms = election_ms
-        self._election_timeout_factor = patience
+        self._election_timeout_ms = election_timeout_ms
+        self._election_timeout_factor = election_timeout_factor
         self._leader_contact_ms = LONG_AGO_MS
         self._votes: set[str] = set()
         self.due_ms = 0.0
-        self.put_off()
+        self.postpone()
 
     # Timer.
 
@@ -63,22 +63,24 @@
     def has_recent_leader(self) -> bool:
         """Whether a leader contacted this node within the election timeout."""
         elapsed_ms = self._clock.now_ms() - self._leader_contact_ms
-        return elapsed_ms < self._election_ms
+        return elapsed_ms < self._election_timeout_ms
 
-    def put_off(self) -> None:
+    def postpone(self) -> None:
         """Postpones the election by a random election timeout."""
         spread = 1.0 + self._rng.random()
-        wait_ms = self._election_ms * spread * self._election_timeout_factor
+        wait_ms = (
+            self._election_timeout_ms * spread * self._election_timeout_factor
+        )
         self.due_ms = self._clock.now_ms() + wait_ms
 
-    def hold_now(self) -> None:
+    def start_now(self) -> None:
         """Makes the election due at once."""
         self.due_ms = self._clock.now_ms()
 
     def on_leader_contact(self) -> None:
         """Records contact with a leader and postpones the election."""
         self._leader_contact_ms = self._clock.now_ms()
-        self.put_off()
+        self.postpone()
 
     def on_leader_lost(self, rank: int) -> None:
         """Schedules an election soon, as the leader's connection ended.
--- a/packages/state/src/clayfield/state/_snapshots.py
+++ b/packages/state/src/clayfield/state/_snapshots.py
@@ -73,4 +73,4 @@
         if chunk.offset != len(self._data):
             return None
         self._data.extend(chunk.data)
-        return bytes(self._data) if chunk.done else None
+        return bytes(self._data) if chunk.is_last else None
--- a/packages/state/src/clayfield/state/claims.py
+++ b/packages/state/src/clayfield/state/claims.py
@@ -2,7 +2,7 @@
 
 A claim records which node, its owner, runs an idempotency key, and later the
 outcome. Each key has a home hall, whose registry holds its claim. The table
-takes its time from `Advance` commands of the leader, so that all replicas
+takes its time from `AdvanceTime` commands of the leader, so that all replicas
 expire claims alike.
 
 A claim is created, completed and, after the retention time, expired. If its
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from clayfield.state.homes import start_named_by
+from clayfield.state.key_location import start_in_key
 from clayfield.state.machine import StateMachine
 from clayfield.wire.messages import (
+    CLAIM_CLOSED,
     CLAIM_DONE,
     CLAIM_GRANTED,
     CLAIM_LOST,
     CLAIM_OWNED,
     CLAIM_REUSED,
-    CLAIM_SETTLED,
     CLAIM_UNAVAILABLE,
     CLAIM_UNKNOWN,
     Claim,
@@ -36,7 +36,7 @@
 DEFAULT_RETENTION_MS = 600_000
 
 
-class Advance(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class AdvanceTime(msgspec.Struct, frozen=True, array_like=True, tag="Advance"):
     """Command that advances the time of the table.
 
     Attributes:
@@ -60,7 +60,7 @@
     outcome: Outcome
 
 
-class Open(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class OpenTable(msgspec.Struct, frozen=True, array_like=True, tag="Open"):
     """Command that opens the table for claims.
 
     Attributes:
@@ -72,7 +72,9 @@
     count: int
 
 
-ClaimCommand = Open | Claim | Complete | Unclaim | Lookup | Advance | OwnerLost
+ClaimCommand = (
+    OpenTable | Claim | Complete | Unclaim | Lookup | AdvanceTime | OwnerLost
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(list[ClaimCommand])
 
@@ -82,9 +84,9 @@
     return _encoder.encode(commands)
 
 
-def is_opening(command: bytes) -> bool:
-    """Returns whether the data of a log entry contains an `Open` command."""
-    return any(isinstance(item, Open) for item in _decoder.decode(command))
+def is_open_table_command(command: bytes) -> bool:
+    """Returns whether a log entry's data contains an `OpenTable` command."""
+    return any(isinstance(item, OpenTable) for item in _decoder.decode(command))
 
 
 class ClaimRecord(msgspec.Struct, array_like=True, gc=False):
@@ -121,8 +123,8 @@
     Attributes:
         claims: claim records by key.
         now_ms: time of the table, the sum of all advances, in ms.
-        count: number of times the hall's registry has started with an empty
-            table; 0 while the table is not open.
+        start_count: number of times the hall's registry has started with an
+            empty table; 0 while the table is not open.
     """
 
     __slots__ = (
@@ -130,14 +132,14 @@
         "_owners",
         "_retention_ms",
         "claims",
-        "count",
+        "start_count",
         "now_ms",
     )
 
     def __init__(self, retention_ms: float = DEFAULT_RETENTION_MS):
         self.claims: dict[str, ClaimRecord] = {}
         self.now_ms = 0.0
-        self.count = 0
+        self.start_count = 0
         self._retention_ms = retention_ms
         self._expiry: collections.deque[tuple[float, str]] = collections.deque()
         self._owners: dict[str, set[str]] = {}
@@ -145,7 +147,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the table is open for claims."""
-        return self.count > 0
+        return self.start_count > 0
 
     @property
     def owners(self) -> list[str]:
@@ -158,8 +160,8 @@
 
     def _apply_command(self, command: ClaimCommand) -> ClaimReply | None:
         match command:
-            case Open(count=count):
-                self.count = self.count or count
+            case OpenTable(count=count):
+                self.start_count = self.start_count or count
             case Claim():
                 return self._claim(command)
             case Lookup():
@@ -168,14 +170,14 @@
                 record = self._find_open_record(key, owner, nonce)
                 if record:
                     self._close(key, record, outcome)
-                return ClaimReply(key, nonce, CLAIM_SETTLED)
+                return ClaimReply(key, nonce, CLAIM_CLOSED)
             case Unclaim(key=key, owner=owner, nonce=nonce):
                 record = self._find_open_record(key, owner, nonce)
                 if record:
                     self._remove_from_owner(key, record)
                     del self.claims[key]
-                return ClaimReply(key, nonce, CLAIM_SETTLED)
-            case Advance(delta_ms=delta_ms, retention_ms=retention_ms):
+                return ClaimReply(key, nonce, CLAIM_CLOSED)
+            case AdvanceTime(delta_ms=delta_ms, retention_ms=retention_ms):
                 self.now_ms += delta_ms
                 self._retention_ms = retention_ms
                 self._expire()
@@ -210,9 +212,9 @@
         expired anyway. Until then, only a key that names the latest start, as
         `HALL.COUNT:rest`, is certain to be newer.
         """
-        if self.count <= 1 or self.now_ms >= self._retention_ms:
+        if self.start_count <= 1 or self.now_ms >= self._retention_ms:
             return False
-        return start_named_by(key) < self.count
+        return start_in_key(key) < self.start_count
 
     def _look_up(self, lookup: Lookup) -> ClaimReply:
         record = self.claims.get(lookup.key)
@@ -253,14 +255,14 @@
         """Returns the whole table in encoded form."""
         return _encoder.encode(
             _TableSnapshot(
-                self.count, self.now_ms, self.claims, list(self._expiry)
+                self.start_count, self.now_ms, self.claims, list(self._expiry)
             )
         )
 
     def restore(self, data: bytes) -> None:
         """Replaces the table by one that `snapshot` returned."""
         saved = _snapshot_decoder.decode(data)
-        self.count = saved.count
+        self.start_count = saved.count
         self.now_ms = saved.now_ms
         self.claims = saved.claims
         self._expiry = collections.deque(saved.expiry)
--- a/packages/state/src/clayfield/state/configlog.py
+++ b/packages/state/src/clayfield/state/configlog.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from clayfield.base import Kind
+from clayfield.base import ErrorKind
 from clayfield.config import (
     EMPTY,
     Configuration,
+    decode_config,
+    delta_version,
     diff,
-    from_bytes,
+    encode_config,
     patch,
-    to_bytes,
-    version_of,
 )
 from clayfield.state.machine import StateMachine
 
@@ -71,7 +71,7 @@
     config: bytes
     digests: bytes
     deltas: list[bytes]
-    openings: dict[str, list[str]]
+    opened_instances: dict[str, list[str]]
     is_open: bool
     hall_sets: list[tuple[str, ...]] = []
 
@@ -85,12 +85,12 @@
     return hashlib.blake2b(config, digest_size=DIGEST_BYTES).digest()
 
 
-def beginning() -> bytes:
+def make_opening_command() -> bytes:
     """Returns the command that opens the log for configurations."""
     return msgspec.msgpack.encode(_Begin())
 
 
-def is_beginning(command: bytes) -> bool:
+def is_opening_command(command: bytes) -> bool:
     """Returns whether a command opens the log."""
     return isinstance(_command_decoder.decode(command), _Begin)
 
@@ -102,7 +102,7 @@
         current: active configuration.
         deltas: latest changes in encoded form, oldest first; the last one
             led to `current`.
-        openings: by hall, the group instances that opened its claims
+        opened_instances: by hall, the group instances that opened its claims
             registry, in order.
         is_open: whether the log was opened, which happens once all first
             voters have joined.
@@ -114,14 +114,14 @@
         "current",
         "deltas",
         "is_open",
-        "openings",
+        "opened_instances",
     )
 
     def __init__(self) -> None:
         self.current: Configuration = EMPTY
         self.deltas: list[bytes] = []
         self._digests = bytearray()
-        self.openings: dict[str, list[str]] = {}
+        self.opened_instances: dict[str, list[str]] = {}
         self.is_open = False
         self._hall_sets: list[tuple[str, ...]] = []
 
@@ -130,19 +130,21 @@
         """Number of the active version, 0 before the first."""
         return len(self._digests) // DIGEST_BYTES
 
-    def command_for(self, submitted: Configuration) -> bytes | ApplyResult:
+    def make_apply_command(
+        self, submitted: Configuration
+    ) -> bytes | ApplyResult:
         """Returns the command that applies a configuration, or its result.
 
         The result is returned if no command is needed: the configuration was
         accepted before, or can't be accepted any more.
         """
         result = self._find_earlier_result(
-            submitted.replaces, compute_digest(to_bytes(submitted))
+            submitted.replaces, compute_digest(encode_config(submitted))
         )
         if result:
             return result
         delta = diff(self.current, submitted)
-        digest = compute_digest(to_bytes(submitted))
+        digest = compute_digest(encode_config(submitted))
         return msgspec.msgpack.encode(_Apply(digest, delta))
 
     def _find_earlier_result(
@@ -157,7 +159,7 @@
         if replaces > self.version:
             return ApplyResult(
                 self.version,
-                Kind.VERSION_RACE.code,
+                ErrorKind.VERSION_RACE.code,
                 f"The file replaces version {replaces}, which was never"
                 f" accepted; version {self.version} is in force.",
             )
@@ -166,12 +168,12 @@
             return ApplyResult(replaces + 1, "", "")
         return ApplyResult(
             self.version,
-            Kind.VERSION_RACE.code,
+            ErrorKind.VERSION_RACE.code,
             f"Version {replaces} was already replaced by another file; version"
             f" {self.version} is in force.",
         )
 
-    def opening_for(
+    def make_open_command(
         self, hall: str, instance: str, halls: tuple[str, ...]
     ) -> bytes:
         """Returns the command that records a start of a hall's claims registry.
@@ -207,14 +209,14 @@
         """
         if opening.halls not in self._hall_sets:
             self._hall_sets.append(opening.halls)
-        instances = self.openings.setdefault(opening.hall, [])
+        instances = self.opened_instances.setdefault(opening.hall, [])
         if opening.instance not in instances:
             instances.append(opening.instance)
         earlier_set_count = self._hall_sets.index(opening.halls)
         return instances.index(opening.instance) + 1 + earlier_set_count
 
     def _apply_file(self, command: _Apply) -> ApplyResult:
-        replaces = version_of(command.delta) - 1
+        replaces = delta_version(command.delta) - 1
         result = self._find_earlier_result(replaces, command.digest)
         if result:
             return result
@@ -233,13 +235,13 @@
 
     def snapshot(self) -> bytes:
         """Returns the whole state in encoded form."""
-        config = to_bytes(self.current) if self.version else b""
+        config = encode_config(self.current) if self.version else b""
         return msgspec.msgpack.encode(
             _ConfigLogSnapshot(
                 config,
                 bytes(self._digests),
                 self.deltas,
-                self.openings,
+                self.opened_instances,
                 self.is_open,
                 self._hall_sets,
             )
@@ -248,9 +250,9 @@
     def restore(self, data: bytes) -> None:
         """Replaces the state by one that `snapshot` returned."""
         saved = _snapshot_decoder.decode(data)
-        self.current = from_bytes(saved.config) if saved.config else EMPTY
+        self.current = decode_config(saved.config) if saved.config else EMPTY
         self._digests = bytearray(saved.digests)
         self.deltas = saved.deltas
-        self.openings = saved.openings
+        self.opened_instances = saved.opened_instances
         self.is_open = saved.is_open
         self._hall_sets = list(saved.hall_sets)
--- a/packages/state/src/clayfield/state/consensus.py
+++ b/packages/state/src/clayfield/state/consensus.py
@@ -17,11 +17,7 @@
 
 from clayfield.base import Clock
 from clayfield.state._elections import Election
-from clayfield.state._members import (
-    decode_members,
-    encode_members,
-    is_members,
-)
+from clayfield.state._members import decode_members, encode_members, is_members
 from clayfield.state._replication import Progress
 from clayfield.state._snapshots import IncomingSnapshot, next_chunk
 from clayfield.state.log import Log
@@ -65,24 +61,28 @@
     """Timing parameters of a group.
 
     Attributes:
-        election_ms: election timeout: time without contact to a leader after
-            which a voter may start an election.
-        heartbeat_ms: time between the heartbeats of a leader.
-        compact_entries: number of log entries above which a snapshot is
+        election_timeout_ms: election timeout: time without contact to a leader
+            after which a voter may start an election.
+        heartbeat_interval_ms: time between the heartbeats of a leader.
+        snapshot_threshold: number of log entries above which a snapshot is
             taken.
     """
 
-    __slots__ = ("compact_entries", "election_ms", "heartbeat_ms")
+    __slots__ = (
+        "snapshot_threshold",
+        "election_timeout_ms",
+        "heartbeat_interval_ms",
+    )
 
     def __init__(
         self,
-        election_ms: float = 400.0,
-        heartbeat_ms: float = 100.0,
-        compact_entries: int = 4096,
+        election_timeout_ms: float = 400.0,
+        heartbeat_interval_ms: float = 100.0,
+        snapshot_threshold: int = 4096,
     ):
-        self.election_ms = election_ms
-        self.heartbeat_ms = heartbeat_ms
-        self.compact_entries = compact_entries
+        self.election_timeout_ms = election_timeout_ms
+        self.heartbeat_interval_ms = heartbeat_interval_ms
+        self.snapshot_threshold = snapshot_threshold
 
 
 class Ready:
@@ -117,7 +117,7 @@
         role: current role of this node.
         term: latest term seen.
         leader: name of the current leader, "" if unknown.
-        commit: index of the last committed entry.
+        commit_index: index of the last committed entry.
         members: voters and learners of the latest members entry in the log,
             which may not be committed yet.
     """
@@ -130,9 +130,9 @@
         clock: Clock,
         rng: random.Random,
         timing: Timing,
-        hard: HardState | None = None,
+        hard_state: HardState | None = None,
         log: Log | None = None,
-        patience: float = 1.0,
+        election_timeout_factor: float = 1.0,
     ):
         """Restores a node from its stored state.
 
@@ -143,24 +143,24 @@
             clock: source of the current time.
             rng: randomizes the election timeout.
             timing: timing parameters of the group.
-            hard: stored term and vote, None for a new node.
+            hard_state: stored term and vote, None for a new node.
             log: stored log, None for a new node.
-            patience: factor of the election timeout; above 1 for a node that
-                should lead only when no other can.
+            election_timeout_factor: factor of the election timeout; above 1 for
+                a node that should lead only when no other can.
         """
         self.group = group
         self.node = node
         self.role = Role.FOLLOWER
         self.leader = ""
-        hard = hard or HardState(0, "")
-        self.term = hard.term
-        self._vote = hard.vote
+        hard_state = hard_state or HardState(0, "")
+        self.term = hard_state.term
+        self._vote = hard_state.vote
         # A log without entries is falsy even if it has a snapshot.
         self._log = Log() if log is None else log
         self._machine = machine
         self._clock = clock
         self._timing = timing
-        self.commit = 0
+        self.commit_index = 0
         self._applied = 0
         self._persisted = self._log.last_index
         self.members = Members(())
@@ -175,8 +175,10 @@
         self._load_members()
         if self._log.snapshot:
             self._machine.restore(self._log.snapshot.data)
-            self.commit = self._applied = self._log.snapshot.index
-        self._election = Election(clock, rng, timing.election_ms, patience)
+            self.commit_index = self._applied = self._log.snapshot.index
+        self._election = Election(
+            clock, rng, timing.election_timeout_ms, election_timeout_factor
+        )
 
     # Queries.
 
@@ -201,9 +203,9 @@
         return self.is_leader and self._clock.now_ms() < self._lease_end_ms()
 
     @property
-    def is_settled(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Whether this node leads and has committed an entry of its term."""
-        return self.is_leader and self.commit >= self._term_start_index
+        return self.is_leader and self.commit_index >= self._term_start_index
 
     def has_command(self, predicate: Callable[[bytes], bool]) -> bool:
         """Returns whether a command in the log satisfies a predicate.
@@ -212,7 +214,7 @@
         """
         return any(predicate(command) for command in self._log.commands())
 
-    def lag_of(self, node: str) -> int | None:
+    def get_lag(self, node: str) -> int | None:
         """Returns the number of entries that a node lacks.
 
         None if this node does not lead, or the other has not acknowledged
@@ -225,7 +227,7 @@
 
     # Events.
 
-    def form(self, first_members: Members) -> None:
+    def bootstrap(self, first_members: Members) -> None:
         """Creates the log with its first members and starts an election.
 
         Raises:
@@ -238,7 +240,7 @@
             )
         self._set_hard_state(1, self.node)
         self._append(encode_members(1, first_members))
-        self._election.hold_now()
+        self._election.start_now()
 
     def propose(self, command: bytes) -> tuple[int, int] | None:
         """Appends a command to the log.
@@ -269,7 +271,10 @@
                 f"voters {members.voters} differ from the current ones by more"
                 " than one"
             )
-        if not self.is_settled or self._members_index > self.commit:
+        if (
+            not self.has_committed_in_term
+            or self._members_index > self.commit_index
+        ):
             return False
         if not members.voters:
             return False
@@ -277,7 +282,7 @@
         self._broadcast()
         return True
 
-    def transfer(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Asks the voter with the smallest lag to start an election.
 
         Returns:
@@ -288,7 +293,7 @@
         if not self.is_leader or not candidates:
             return False
         target = max(candidates, key=lambda v: self._progress[v].match_index)
-        if self._progress[target].match_index < self.commit:
+        if self._progress[target].match_index < self.commit_index:
             return False
         self._send(target, TimeoutNow(self.group, self.term))
         return True
@@ -303,13 +308,13 @@
         if self.is_leader:
             if (
                 now_ms - self._quorum_contact_ms()
-                > self._timing.election_ms * 2
+                > self._timing.election_timeout_ms * 2
             ):
                 self._become_follower(self.term, "")
             elif now_ms >= self._next_heartbeat_ms:
                 self._heartbeat()
         elif self._election.is_due and self.is_voter:
-            self._start_election(pre=True)
+            self._start_election(is_prevote=True)
 
     def on_message(self, source: str, message: Message) -> None:
         """Handles a message of this group from another node."""
@@ -330,9 +335,9 @@
                 self._on_snapshot_reply(source, message)
             case TimeoutNow(term=term):
                 if term == self.term and self.is_voter:
-                    self._start_election(pre=False)
+                    self._start_election(is_prevote=False)
 
-    def on_closed(self, box: str) -> None:
+    def on_disconnected(self, box: str) -> None:
         """Handles the end of the connection to a box.
 
         If the box was the leader's, an election follows soon. The pre-vote
@@ -374,20 +379,20 @@
 
     # Elections.
 
-    def _start_election(self, pre: bool) -> None:
-        self._election.put_off()
+    def _start_election(self, is_prevote: bool) -> None:
+        self._election.postpone()
         self.leader = ""
-        self.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
+        self.role = Role.PRE_CANDIDATE if is_prevote else Role.CANDIDATE
         self._election.begin(self.node)
         term = self.term + 1
-        if not pre:
+        if not is_prevote:
             self._set_hard_state(term, self.node)
         request = VoteRequest(
             self.group,
             term,
             self._log.last_index,
             self._log.last_term,
-            pre,
+            is_prevote,
         )
         for voter in self.members.voters:
             if voter != self.node:
@@ -396,11 +401,13 @@
 
     def _on_vote_request(self, source: str, req: VoteRequest) -> None:
         granted = self._can_grant_vote(source, req)
-        if granted and not req.pre:
+        if granted and not req.is_prevote:
             self._set_hard_state(self.term, source)
-            self._election.put_off()
+            self._election.postpone()
         reply_term = req.term if granted else self.term
-        self._send(source, VoteReply(self.group, reply_term, granted, req.pre))
+        self._send(
+            source, VoteReply(self.group, reply_term, granted, req.is_prevote)
+        )
 
     def _can_grant_vote(self, source: str, req: VoteRequest) -> bool:
         if req.term < self.term:
@@ -408,7 +415,7 @@
         own_last = (self._log.last_term, self._log.last_index)
         if (req.last_term, req.last_index) < own_last:
             return False
-        if req.pre:
+        if req.is_prevote:
             return req.term > self.term and not self._has_recent_leader()
         return self._vote in ("", source)
 
@@ -416,8 +423,10 @@
         return self.is_leader or self._election.has_recent_leader
 
     def _on_vote_reply(self, source: str, reply: VoteReply) -> None:
-        expected_role = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
-        requested_term = self.term + 1 if reply.pre else self.term
+        expected_role = (
+            Role.PRE_CANDIDATE if reply.is_prevote else Role.CANDIDATE
+        )
+        requested_term = self.term + 1 if reply.is_prevote else self.term
         if reply.granted:
             if self.role is expected_role and reply.term == requested_term:
                 self._election.on_vote(source)
@@ -429,7 +438,7 @@
         if not self._election.is_won(self.members.voters):
             return
         if self.role is Role.PRE_CANDIDATE:
-            self._start_election(pre=False)
+            self._start_election(is_prevote=False)
         elif self.role is Role.CANDIDATE:
             self._become_leader()
 
@@ -437,7 +446,7 @@
         if term > self.term:
             self._set_hard_state(term, "")
         if self.role is not Role.FOLLOWER:
-            self._election.put_off()
+            self._election.postpone()
         self.role = Role.FOLLOWER
         self.leader = leader
         self._progress = {}
@@ -469,7 +478,7 @@
     def _write_entry(self, index: int, entry: LogEntry) -> None:
         """Writes an entry at an index and drops all entries after it."""
         replaces = index <= self._log.last_index
-        self._log.put(index, entry)
+        self._log.truncate_and_append(index, entry)
         self._persisted = min(self._persisted, index - 1)
         self._records.append(Append(index, entry))
         if is_members(entry):
@@ -478,7 +487,7 @@
             self._load_members()
 
     def _load_members(self) -> None:
-        latest = self._log.members()
+        latest = self._log.find_members()
         if latest:
             self._set_members(*latest)
 
@@ -490,7 +499,7 @@
 
     def _heartbeat(self) -> None:
         self._next_heartbeat_ms = (
-            self._clock.now_ms() + self._timing.heartbeat_ms
+            self._clock.now_ms() + self._timing.heartbeat_interval_ms
         )
         for node, progress in self._progress.items():
             progress.rewind_if_stalled()
@@ -530,7 +539,7 @@
                 prev_index,
                 prev_term,
                 entries,
-                self.commit,
+                self.commit_index,
                 now_ms,
             ),
         )
@@ -548,24 +557,30 @@
             if not is_compacted:
                 hint = min(self._log.last_index, req.prev_index - 1)
             self._reply_append(
-                source, req, is_compacted, max(hint, self.commit)
+                source, req, is_compacted, max(hint, self.commit_index)
             )
             return
         index = req.prev_index
         for entry in req.entries:
             index += 1
             is_new = self._log.term_at(index) != entry.term
-            if is_new and index > self.commit:
+            if is_new and index > self.commit_index:
                 self._write_entry(index, entry)
-        self._commit_to(min(req.commit, index))
+        self._commit_to(min(req.commit_index, index))
         self._reply_append(source, req, True, index)
 
     def _reply_append(
-        self, source: str, req: AppendRequest, ok: bool, match: int
+        self,
+        source: str,
+        req: AppendRequest,
+        is_matching: bool,
+        match_index: int,
     ) -> None:
         self._send(
             source,
-            AppendReply(self.group, self.term, ok, match, req.sent_ms),
+            AppendReply(
+                self.group, self.term, is_matching, match_index, req.sent_ms
+            ),
         )
 
     def _on_leader_contact(self, source: str) -> None:
@@ -577,10 +592,10 @@
         if not self.is_leader or reply.term != self.term or not progress:
             return
         progress.acked_ms = max(progress.acked_ms, reply.sent_ms)
-        if reply.ok:
-            progress.on_match(reply.match)
+        if reply.is_matching:
+            progress.on_match(reply.match_index)
             self._advance_commit()
-        elif not progress.on_mismatch(reply.match):
+        elif not progress.on_mismatch(reply.match_index):
             return
         if progress.next_index <= self._log.last_index:
             self._send_append(source, progress, is_heartbeat=False)
@@ -599,13 +614,13 @@
         ]
         match_indices.sort(reverse=True)
         index = match_indices[len(match_indices) // 2]
-        if index > self.commit and self._log.term_at(index) == self.term:
+        if index > self.commit_index and self._log.term_at(index) == self.term:
             self._commit_to(index)
 
     def _commit_to(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.commit = index
+        self.commit_index = index
         while self._applied < index:
             self._applied += 1
             entry = self._log.entry_at(self._applied)
@@ -620,11 +635,11 @@
     # Snapshots.
 
     def _is_compaction_due(self) -> bool:
-        if len(self._log) <= self._timing.compact_entries:
+        if len(self._log) <= self._timing.snapshot_threshold:
             return False
         snapshot = self._log.snapshot
         min_size = SNAPSHOT_RATIO * len(snapshot.data) if snapshot else 0
-        return self._log.size >= min_size
+        return self._log.size_bytes >= min_size
 
     def _compact(self) -> None:
         members = self._members_at_applied()
@@ -653,10 +668,10 @@
         if chunk.term < self.term:
             return
         self._on_leader_contact(source)
-        if chunk.index <= self.commit:
+        if chunk.index <= self.commit_index:
             self._incoming.clear()
             reply = AppendReply(
-                self.group, self.term, True, self.commit, chunk.sent_ms
+                self.group, self.term, True, self.commit_index, chunk.sent_ms
             )
             self._send(source, reply)
             return
@@ -679,7 +694,7 @@
         self._log.compact(snapshot)
         self._records.append(snapshot)
         self._machine.restore(data)
-        self.commit = self._applied = chunk.index
+        self.commit_index = self._applied = chunk.index
         self._persisted = min(self._persisted, chunk.index)
         self._load_members()
 
@@ -715,7 +730,7 @@
     def _lease_end_ms(self) -> float:
         return (
             self._quorum_contact_ms()
-            + self._timing.election_ms * LEASE_FRACTION
+            + self._timing.election_timeout_ms * LEASE_FRACTION
         )
 
     def _set_hard_state(self, term: int, vote: str) -> None:
@@ -734,8 +749,8 @@
     of the receiver.
     """
     match message:
-        case VoteRequest(pre=pre):
+        case VoteRequest(is_prevote=pre):
             return pre
-        case VoteReply(pre=pre, granted=granted):
+        case VoteReply(is_prevote=pre, granted=granted):
             return pre and granted
     return False
--- a/packages/state/src/clayfield/state/group.py
+++ b/packages/state/src/clayfield/state/group.py
@@ -16,11 +16,11 @@
 
 from clayfield.base import Clock
 from clayfield.state.consensus import Consensus, Ready, Timing
-from clayfield.state.log import Replayed
+from clayfield.state.log import RestoredState
 from clayfield.state.machine import StateMachine
 from clayfield.state.membership import PeerTable, box_of, supersedes
-from clayfield.state.records import Born, Record
-from clayfield.wire.messages import Grouped, Members, Message
+from clayfield.state.records import LogCreated, Record
+from clayfield.wire.messages import GroupMessage, Members, Message
 
 INSTANCE_SEPARATOR = "@"
 BOOTSTRAP_SEPARATOR = "#"
@@ -29,7 +29,7 @@
 LOSS_CONFIRMATION_MS = 1500.0
 
 
-def base_of(group: str) -> str:
+def base_name_of(group: str) -> str:
     """Returns the name of a group without its instance."""
     return group.partition(INSTANCE_SEPARATOR)[0]
 
@@ -54,8 +54,8 @@
         clock: Clock,
         rng: random.Random,
         timing: Timing,
-        patience: float = 1.0,
-        stored: Replayed | None = None,
+        election_timeout_factor: float = 1.0,
+        stored: RestoredState | None = None,
         may_drop: bool = False,
     ):
         """Restores this node's part from its stored state, if there is any.
@@ -70,7 +70,7 @@
             clock: source of the current time.
             rng: randomizes the election timeout.
             timing: timing parameters of the group.
-            patience: see `Consensus`.
+            election_timeout_factor: see `Consensus`.
             stored: restored state, None for a group kept in memory only.
             may_drop: whether the group is dropped and created again when it
                 has lost its quorum of voters for good.
@@ -83,7 +83,7 @@
         self._clock = clock
         self._rng = rng
         self._timing = timing
-        self._election_timeout_factor = patience
+        self._election_timeout_factor = election_timeout_factor
         self.machine = make_machine()
         self.consensus: Consensus | None = None
         self._may_drop = may_drop
@@ -94,7 +94,9 @@
         if stored and stored.instance:
             self._start(stored.instance, stored)
 
-    def _start(self, instance: str, stored: Replayed | None = None) -> None:
+    def _start(
+        self, instance: str, stored: RestoredState | None = None
+    ) -> None:
         self.machine = self._make_machine()
         self.consensus = Consensus(
             instance,
@@ -103,28 +105,28 @@
             self._clock,
             self._rng,
             self._timing,
-            stored.hard if stored else None,
+            stored.hard_state if stored else None,
             stored.log if stored else None,
             self._election_timeout_factor,
         )
 
     def _start_new_log(self, instance: str) -> None:
-        self._new_log_records.append(Born(instance))
+        self._new_log_records.append(LogCreated(instance))
         self._start(instance)
 
     @property
-    def is_fresh(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether this node holds no state of an opened instance."""
         return self.consensus is None or not self._is_opened(self)
 
     @property
-    def holds_nothing_live(self) -> bool:
+    def is_discardable(self) -> bool:
         """Whether what this node holds can be dropped.
 
         It holds no state of an opened instance, or only that of one that has
         lost its quorum for good.
         """
-        return self.is_fresh or self._is_quorum_lost
+        return self.is_empty or self._is_quorum_lost
 
     @property
     def is_leader(self) -> bool:
@@ -137,7 +139,7 @@
         return self.consensus is not None and self.consensus.is_voter
 
     @property
-    def is_whole(self) -> bool:
+    def has_all_voters(self) -> bool:
         """Whether every configured box is a voter."""
         if self.consensus is None:
             return False
@@ -149,17 +151,17 @@
         """Name of the current leader, "" if unknown."""
         return self.consensus.leader if self.consensus else ""
 
-    def on_message(self, message: Grouped) -> None:
+    def on_message(self, message: GroupMessage) -> None:
         """Handles a consensus message.
 
         Messages for other nodes or groups are ignored.
         """
         group = message.body.group
-        if message.to != self.node or base_of(group) != self.base:
+        if message.to != self.node or base_name_of(group) != self.base:
             return
         current = self.consensus.group if self.consensus else ""
         if group != current:
-            if not self.is_fresh:
+            if not self.is_empty:
                 return
             self._start_new_log(group)
         self.consensus.on_message(message.source, message.body)
@@ -177,7 +179,7 @@
         if self.consensus is None:
             return
         self.consensus.tick()
-        if self.consensus.is_settled:
+        if self.consensus.has_committed_in_term:
             self._propose_next_members(peers)
 
     def _bootstrap_if_first(self, peers: PeerTable) -> None:
@@ -191,9 +193,9 @@
         # A node may create its group again; the number makes the name unique.
         self._bootstrap_count += 1
         self._start_new_log(
-            f"{self.join_name()}{BOOTSTRAP_SEPARATOR}{self._bootstrap_count}"
+            f"{self.make_join_name()}{BOOTSTRAP_SEPARATOR}{self._bootstrap_count}"
         )
-        self.consensus.form(Members((self.node,)))
+        self.consensus.bootstrap(Members((self.node,)))
 
     def _drop_if_lost(self, peers: PeerTable) -> None:
         """Drops a group that has lost its quorum of voters for good.
@@ -227,9 +229,9 @@
     def _reports_empty(self, peers: PeerTable, box: str) -> bool:
         """Returns whether a live box reports that it can drop the group."""
         peer = peers.get(box)
-        if peer is None or peer.beat is None or not peers.is_live(box):
+        if peer is None or peer.heartbeat is None or not peers.is_live(box):
             return False
-        return self.base in peer.beat.fresh
+        return self.base in peer.heartbeat.unformed_groups
 
     def _propose_next_members(self, peers: PeerTable) -> None:
         """Proposes the next step from the current to the configured members."""
@@ -249,7 +251,7 @@
         Waits until all configured boxes are voters, and removes the leader
         last.
         """
-        if not self.is_whole:
+        if not self.has_all_voters:
             return
         unconfigured = [
             voter
@@ -269,9 +271,9 @@
         if box == box_of(self.node):
             return self.node
         peer = peers.get(box)
-        if peer is None or peer.beat is None or not peers.is_live(box):
+        if peer is None or peer.heartbeat is None or not peers.is_live(box):
             return ""
-        for joined in peer.beat.joins:
+        for joined in peer.heartbeat.group_members:
             group, _, node = joined.partition(INSTANCE_SEPARATOR)
             if group == self.base:
                 return node
@@ -286,7 +288,7 @@
         """
         if node not in members.learners:
             return Members(members.voters, (*members.learners, node))
-        lag = self.consensus.lag_of(node)
+        lag = self.consensus.get_lag(node)
         if lag is None or lag > MAX_LAG_TO_VOTE:
             return None
         stale = [v for v in members.voters if supersedes(node, v)]
@@ -298,8 +300,8 @@
         )
         return Members((*members.voters, node), learners)
 
-    def join_name(self) -> str:
-        """Returns the entry for this node in `Heartbeat.joins`."""
+    def make_join_name(self) -> str:
+        """Returns the entry for this node in `Heartbeat.group_members`."""
         return f"{self.base}{INSTANCE_SEPARATOR}{self.node}"
 
     def take_ready(self) -> Ready | None:
@@ -317,6 +319,8 @@
         ready.records = new_log_records + ready.records
         return ready
 
-    def address(self, messages: list[tuple[str, Message]]) -> list[Grouped]:
+    def wrap_messages(
+        self, messages: list[tuple[str, Message]]
+    ) -> list[GroupMessage]:
         """Wraps messages with their sender and receiver."""
-        return [Grouped(self.node, to, body) for to, body in messages]
+        return [GroupMessage(self.node, to, body) for to, body in messages]
--- a/packages/state/src/clayfield/state/homes.py
+++ b/packages/state/src/clayfield/state/key_location.py
@@ -17,7 +17,7 @@
     return xxhash.xxh3_64_intdigest(f"{name}\0{key}".encode())
 
 
-def owned_key(member: str, key: str) -> str:
+def member_key(member: str, key: str) -> str:
     """Returns the key under which a member's idempotency key is claimed."""
     return f"{member}{MEMBER_SEPARATOR}{key}"
 
@@ -29,7 +29,7 @@
     return prefix if separator else ""
 
 
-def start_named_by(key: str) -> int:
+def start_in_key(key: str) -> int:
     """Returns the number of the start of a hall's claims named in a key.
 
     A start is a creation of the hall's registry with an empty table; starts
@@ -43,7 +43,7 @@
     """Returns the hall that holds the claim of a key.
 
     Args:
-        key: key as returned by `owned_key`. The caller's part may name the
+        key: key as returned by `member_key`. The caller's part may name the
             hall, as `HALL:rest` or `HALL.START:rest`.
         halls: names of all halls, in any order.
     """
--- a/packages/state/src/clayfield/state/log.py
+++ b/packages/state/src/clayfield/state/log.py
@@ -1,11 +1,11 @@
 """The in-memory log of a node: its latest snapshot and the entries after it."""
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.state._members import decode_members, is_members
 from clayfield.state.records import (
     Append,
-    Born,
     HardState,
+    LogCreated,
     Record,
     Snapshot,
 )
@@ -20,15 +20,15 @@
 
     Attributes:
         snapshot: latest snapshot, None if there is none.
-        size: number of bytes of data in the entries held.
+        size_bytes: number of bytes of data in the entries held.
     """
 
-    __slots__ = ("_entries", "size", "snapshot")
+    __slots__ = ("_entries", "size_bytes", "snapshot")
 
     def __init__(self) -> None:
         self._entries: list[LogEntry] = []
         self.snapshot: Snapshot | None = None
-        self.size = 0
+        self.size_bytes = 0
 
     @property
     def first_index(self) -> int:
@@ -87,13 +87,13 @@
         """Returns the commands in the entries held, oldest first."""
         return [e.data for e in self._entries if e.kind == ENTRY_COMMAND]
 
-    def put(self, index: int, entry: LogEntry) -> None:
+    def truncate_and_append(self, index: int, entry: LogEntry) -> None:
         """Writes the entry at `index` and drops all entries after it."""
         position = index - self.first_index
-        self.size -= _size_of(self._entries[position:])
+        self.size_bytes -= _size_of(self._entries[position:])
         del self._entries[position:]
         self._entries.append(entry)
-        self.size += len(entry.data)
+        self.size_bytes += len(entry.data)
 
     def compact(self, snapshot: Snapshot) -> None:
         """Replaces the latest snapshot and drops the entries it covers.
@@ -105,10 +105,10 @@
             del self._entries[:covered]
         else:
             self._entries.clear()
-        self.size = _size_of(self._entries)
+        self.size_bytes = _size_of(self._entries)
         self.snapshot = snapshot
 
-    def members(self) -> tuple[int, Members] | None:
+    def find_members(self) -> tuple[int, Members] | None:
         """Returns the index and content of the latest members entry.
 
         Members from the snapshot have the index of the snapshot. None if the
@@ -127,24 +127,24 @@
     return sum(len(entry.data) for entry in entries)
 
 
-class Replayed:
+class RestoredState:
     """State restored from stored records.
 
     Attributes:
         instance: group instance that the records belong to, "" for none.
-        hard: latest term and vote.
+        hard_state: latest term and vote.
         log: restored log.
     """
 
-    __slots__ = ("hard", "instance", "log")
+    __slots__ = ("hard_state", "instance", "log")
 
     def __init__(self) -> None:
         self.instance = ""
-        self.hard = HardState(0, "")
+        self.hard_state = HardState(0, "")
         self.log = Log()
 
 
-def replay(records: list[Record]) -> Replayed:
+def replay(records: list[Record]) -> RestoredState:
     """Restores the hard state and the log from records.
 
     Args:
@@ -153,14 +153,14 @@
     Raises:
         ClayfieldError: an entry is missing (kind `STORE_DAMAGED`).
     """
-    state = Replayed()
+    state = RestoredState()
     for record in records:
         match record:
-            case Born(instance=instance):
-                state = Replayed()
+            case LogCreated(instance=instance):
+                state = RestoredState()
                 state.instance = instance
             case HardState():
-                state.hard = record
+                state.hard_state = record
             case Append(index=index, entry=entry):
                 _replay_entry(state.log, index, entry)
             case Snapshot():
@@ -171,9 +171,9 @@
 def _replay_entry(log: Log, index: int, entry: LogEntry) -> None:
     if index > log.last_index + 1:
         raise ClayfieldError(
-            Kind.STORE_DAMAGED,
+            ErrorKind.STORE_DAMAGED,
             f"Entry {index} follows entry {log.last_index}; the log entries"
             " in between are missing.",
         )
     if index >= log.first_index:
-        log.put(index, entry)
+        log.truncate_and_append(index, entry)
--- a/packages/state/src/clayfield/state/membership.py
+++ b/packages/state/src/clayfield/state/membership.py
@@ -42,16 +42,16 @@
 
     Attributes:
         node: name of the node, which is the known incarnation of the box.
-        heard_ms: time of the last contact, in ms.
-        beat: latest heartbeat, None before the first.
+        last_contact_ms: time of the last contact, in ms.
+        heartbeat: latest heartbeat, None before the first.
     """
 
-    __slots__ = ("beat", "heard_ms", "node")
+    __slots__ = ("heartbeat", "last_contact_ms", "node")
 
-    def __init__(self, node: str, heard_ms: float):
+    def __init__(self, node: str, last_contact_ms: float):
         self.node = node
-        self.heard_ms = heard_ms
-        self.beat: Heartbeat | None = None
+        self.last_contact_ms = last_contact_ms
+        self.heartbeat: Heartbeat | None = None
 
 
 class PeerTable:
@@ -75,15 +75,15 @@
             return True
         return supersedes(node, peer.node) or not self.is_live(box_of(node))
 
-    def on_heard(self, node: str) -> None:
+    def on_contact(self, node: str) -> None:
         """Records contact with a node."""
         box = box_of(node)
         peer = self._peers.get(box)
         if peer is None or peer.node != node:
             peer = self._peers[box] = Peer(node, 0.0)
-        peer.heard_ms = self._clock.now_ms()
+        peer.last_contact_ms = self._clock.now_ms()
 
-    def on_closed(self, node: str) -> None:
+    def on_disconnected(self, node: str) -> None:
         """Handles the end of a node's connection.
 
         Its process has probably ended, so it is not live until the next
@@ -91,12 +91,14 @@
         """
         peer = self._peers.get(box_of(node))
         if peer and peer.node == node:
-            peer.heard_ms = min(peer.heard_ms, self._clock.now_ms() - LEASE_MS)
+            peer.last_contact_ms = min(
+                peer.last_contact_ms, self._clock.now_ms() - LEASE_MS
+            )
 
-    def on_heartbeat(self, node: str, beat: Heartbeat) -> None:
+    def on_heartbeat(self, node: str, heartbeat: Heartbeat) -> None:
         """Records a heartbeat of a node."""
-        self.on_heard(node)
-        self._peers[box_of(node)].beat = beat
+        self.on_contact(node)
+        self._peers[box_of(node)].heartbeat = heartbeat
 
     def get(self, box: str) -> Peer | None:
         """Returns the peer on a box, None if there was no contact with it."""
@@ -104,9 +106,9 @@
 
     def is_live(self, box: str) -> bool:
         """Returns whether the last contact with a box is within the lease."""
-        return self.silence_ms(box) < LEASE_MS
+        return self.ms_since_contact(box) < LEASE_MS
 
-    def silence_ms(self, box: str) -> float:
+    def ms_since_contact(self, box: str) -> float:
         """Returns the time since the last contact with a box, in ms.
 
         Infinite if there was none.
@@ -114,14 +116,14 @@
         peer = self._peers.get(box)
         if peer is None:
             return float("inf")
-        return self._clock.now_ms() - peer.heard_ms
+        return self._clock.now_ms() - peer.last_contact_ms
 
-    def live(self) -> list[tuple[str, Peer]]:
+    def live_peers(self) -> list[tuple[str, Peer]]:
         """Returns the live peers that have sent a heartbeat, by box name."""
         return [
             (box, peer)
             for box, peer in sorted(self._peers.items())
-            if peer.beat and self.is_live(box)
+            if peer.heartbeat and self.is_live(box)
         ]
 
     def is_superseded(self, node: str) -> bool:
@@ -137,8 +139,8 @@
         ("", 0) if no live peer reports that it leads.
         """
         best = ("", 0)
-        for _, peer in self.live():
-            term = peer.beat.leads.get(group, 0)
+        for _, peer in self.live_peers():
+            term = peer.heartbeat.led_terms.get(group, 0)
             if term > best[1]:
                 best = (peer.node, term)
         return best
--- a/packages/state/src/clayfield/state/records.py
+++ b/packages/state/src/clayfield/state/records.py
@@ -9,7 +9,7 @@
     """Base class of all records."""
 
 
-class Born(Record, frozen=True):
+class LogCreated(Record, frozen=True, tag="Born"):
     """Start of a new log; earlier records belong to another instance.
 
     Attributes:
@@ -59,4 +59,4 @@
     data: bytes
 
 
-ANY_RECORD = Born | HardState | Append | Snapshot
+ANY_RECORD = LogCreated | HardState | Append | Snapshot
--- a/packages/testbed/src/clayfield/testbed/__init__.py
+++ b/packages/testbed/src/clayfield/testbed/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from clayfield.testbed.events import EventQueue
-from clayfield.testbed.ledger import Ledger, ViolationError
+from clayfield.testbed.invariants import InvariantChecker, ViolationError
 from clayfield.testbed.network import Faults, Network
 from clayfield.testbed.site import Site, SiteShape
 from clayfield.testbed.workers import FakeWorker
@@ -15,7 +15,7 @@
     "EventQueue",
     "FakeWorker",
     "Faults",
-    "Ledger",
+    "InvariantChecker",
     "Network",
     "Site",
     "SiteShape",
--- a/packages/testbed/src/clayfield/testbed/box.py
+++ b/packages/testbed/src/clayfield/testbed/box.py
@@ -4,20 +4,20 @@
 from collections.abc import Callable
 
 from clayfield.box import (
-    Applied,
+    ApplyFinished,
     BoxCore,
+    ConfigActivated,
     Identity,
-    InForce,
     PeerAddress,
     Persist,
     Send,
 )
-from clayfield.config import to_bytes
-from clayfield.dispatch import Answer, StartTask, TaskEnd
+from clayfield.config import encode_config
+from clayfield.dispatch import SendAnswer, StartTask, TaskOutcome
 from clayfield.state import Record, Timing, replay
 from clayfield.state.membership import box_of
 from clayfield.testbed.events import EventQueue
-from clayfield.testbed.ledger import Ledger
+from clayfield.testbed.invariants import InvariantChecker
 from clayfield.testbed.network import Network
 from clayfield.testbed.workers import FakeWorker
 
@@ -29,13 +29,14 @@
     """A disk that keeps synced records over a crash of its box.
 
     Attributes:
-        made: identifies the data folder; a replaced disk has a higher number.
+        disk_id: identifies the data folder; a replaced disk has a higher
+            number.
         records: the records that survive a crash.
         is_lying: whether it reports a sync before the records are stored.
     """
 
-    def __init__(self, made: int):
-        self.made = made
+    def __init__(self, disk_id: int):
+        self.disk_id = disk_id
         self.records: list[Record] = []
         self.is_lying = False
 
@@ -61,7 +62,7 @@
         addresses: dict[str, PeerAddress],
         events: EventQueue,
         network: Network,
-        ledger: Ledger,
+        checker: InvariantChecker,
         rng: random.Random,
         workers: dict[str, FakeWorker],
         run_ms_of: Callable[[str, int], float],
@@ -76,11 +77,11 @@
         self.starts = 0
         self.is_frozen = False
         self.boxes: dict[str, FakeBox] = {}
-        self.applied: dict[int, Applied] = {}
+        self.applied: dict[int, ApplyFinished] = {}
         self._addresses = addresses
         self._events = events
         self._network = network
-        self._ledger = ledger
+        self._checker = checker
         self._rng = rng
         self._workers = workers
         self._run_ms_of = run_ms_of
@@ -104,7 +105,7 @@
             self.name,
             self.incarnation,
             _copy_addresses(self._addresses),
-            self.disk.made if is_control else 0,
+            self.disk.disk_id if is_control else 0,
         )
         self.core = self._make_core(
             identity, self._events.clock, self._rng, stored, self._timing
@@ -126,7 +127,7 @@
                 self._network.send(
                     self.name,
                     name,
-                    lambda peer=peer: peer.do(
+                    lambda peer=peer: peer.call(
                         lambda core: core.on_peer_closed(node)
                     ),
                 )
@@ -137,7 +138,7 @@
 
     def lose_disk(self) -> None:
         """Replaces the disk of a stopped box by an empty one."""
-        self.disk = FakeDisk(self.disk.made + 1)
+        self.disk = FakeDisk(self.disk.disk_id + 1)
 
     def freeze(self) -> None:
         """Suspends the process without ending it."""
@@ -151,7 +152,7 @@
         for callback in queued:
             callback()
 
-    def do(self, callback: Callable[[BoxCore], None]) -> None:
+    def call(self, callback: Callable[[BoxCore], None]) -> None:
         """Calls a function with the core of the box and runs its actions.
 
         The call is queued while the box is frozen and dropped while it is
@@ -162,25 +163,25 @@
             return
         if self.is_frozen:
             self._queued_calls.append(
-                lambda: self._do_if_running(incarnation, callback)
+                lambda: self._call_if_running(incarnation, callback)
             )
             return
         callback(self.core)
         self._run_actions()
 
-    def _do_if_running(
+    def _call_if_running(
         self, incarnation: int, callback: Callable[[BoxCore], None]
     ) -> None:
-        """Calls `do` if the given incarnation still runs."""
+        """Calls `call` if the given incarnation still runs."""
         if self.core is not None and incarnation == self.incarnation:
-            self.do(callback)
+            self.call(callback)
 
     def _tick(self, incarnation: int) -> None:
         if self.core is None or incarnation != self.incarnation:
             return
         if not self.is_frozen:
-            self.do(lambda core: core.tick())
-        self._events.after(TICK_MS, lambda: self._tick(incarnation))
+            self.call(lambda core: core.tick())
+        self._events.call_later(TICK_MS, lambda: self._tick(incarnation))
 
     def _run_actions(self) -> None:
         for action in self.core.take_actions():
@@ -191,11 +192,11 @@
                     self._persist(action)
                 case StartTask():
                     self._start_task(action)
-                case Answer(waiter=waiter, outcome=outcome):
+                case SendAnswer(waiter=waiter, outcome=outcome):
                     waiter(outcome)
-                case InForce(version=version):
+                case ConfigActivated(version=version):
                     self._on_config_activated(version)
-                case Applied(request=request):
+                case ApplyFinished(request=request):
                     self.applied[request] = action
 
     def _send(self, box: str, message: object) -> None:
@@ -206,7 +207,7 @@
         def deliver() -> None:
             # The greeting of a stream rejects a peer with other halls.
             if peer.core and peer.core.identity.halls == halls:
-                peer.do(lambda core: core.on_message(node, message))
+                peer.call(lambda core: core.on_message(node, message))
 
         self._network.send(self.name, box, deliver)
 
@@ -215,14 +216,14 @@
         if self.disk.is_lying:
             # Sends the messages before the records are stored.
             disk = self.disk
-            self._do_if_running(
+            self._call_if_running(
                 incarnation, lambda core: self._after_sync(action)
             )
-            self._events.after(
+            self._events.call_later(
                 50.0, lambda: self._write_late(incarnation, disk, action)
             )
             return
-        self._events.after(
+        self._events.call_later(
             self._sync_ms, lambda: self._on_synced(incarnation, action)
         )
 
@@ -236,7 +237,9 @@
         if self.core is None or incarnation != self.incarnation:
             return
         self.disk.records.extend(action.records)
-        self._do_if_running(incarnation, lambda core: self._after_sync(action))
+        self._call_if_running(
+            incarnation, lambda core: self._after_sync(action)
+        )
 
     def _after_sync(self, action: Persist) -> None:
         for message in action.messages:
@@ -244,31 +247,31 @@
         self.core.on_persisted(action.last_index)
 
     def _on_config_activated(self, version: int) -> None:
-        digest = to_bytes(self.core.cfg)
+        digest = encode_config(self.core.cfg)
         process = f"{self.name} start {self.starts}"
-        self._ledger.on_in_force(process, version, digest)
+        self._checker.on_in_force(process, version, digest)
 
     def _start_task(self, action: StartTask) -> None:
         """Sends a start to a worker; its end or a timeout is reported once."""
         core = self.core
         incarnation = self.incarnation
-        sub = core.entry.holder_of(action.grant)
+        sub = core.submissions.submission_for_grant(action.grant)
         worker = self._workers[action.worker]
         key = sub.key
         is_pending = [True]
 
-        def report(end: TaskEnd, answer: bytes, duration_ms: float) -> None:
+        def report(end: TaskOutcome, answer: bytes, duration_ms: float) -> None:
             delay_ms = WORKER_DELAY_MS
             if self._network.is_cut(self.name, worker.info.name):
                 return
-            self._events.after(
+            self._events.call_later(
                 delay_ms, lambda: finish(end, answer, duration_ms)
             )
 
-        def finish(end: TaskEnd, answer: bytes, duration_ms: float) -> None:
+        def finish(end: TaskOutcome, answer: bytes, duration_ms: float) -> None:
             if is_pending[0]:
                 is_pending[0] = False
-                self._do_if_running(
+                self._call_if_running(
                     incarnation,
                     lambda c: c.on_task_end(
                         action.grant, end, answer, duration_ms
@@ -280,10 +283,10 @@
                 run_ms = self._run_ms_of(key, action.task)
                 worker.start(key, action.task, action.payload, run_ms, report)
 
-        self._events.after(WORKER_DELAY_MS, arrive)
-        self._events.after(
+        self._events.call_later(WORKER_DELAY_MS, arrive)
+        self._events.call_later(
             action.timeout_ms,
-            lambda: finish(TaskEnd.LOST, b"", action.timeout_ms),
+            lambda: finish(TaskOutcome.LOST, b"", action.timeout_ms),
         )
 
 
--- a/packages/testbed/src/clayfield/testbed/chaos.py
+++ b/packages/testbed/src/clayfield/testbed/chaos.py
@@ -17,12 +17,14 @@
 from clayfield.state import Timing
 from clayfield.state.membership import box_of
 from clayfield.testbed.box import FakeBox
-from clayfield.testbed.ledger import Ledger
+from clayfield.testbed.invariants import InvariantChecker
 from clayfield.testbed.network import Faults
 from clayfield.testbed.site import MEMBER, Site, SiteShape
 from clayfield.wire.messages import Outcome
 
-SHAPE = SiteShape({"h1": 3, "h2": 2, "h3": 3}, control=3, workers=2, slots=4)
+SHAPE = SiteShape(
+    {"h1": 3, "h2": 2, "h3": 3}, control_count=3, workers=2, slots=4
+)
 BAD_NETWORK = Faults(drop=0.02, double=0.02, jitter_ms=3.0)
 GOOD_NETWORK = Faults()
 STEP_MS = 120.0
@@ -39,8 +41,8 @@
 
     Attributes:
         site: the simulated site.
-        ledger: checks the invariants.
-        injected: number of actions performed, by name.
+        checker: checks the invariants.
+        injected_counts: number of actions performed, by name.
         actions: weight and method of each action, by name; the method returns
             whether it was performed.
     """
@@ -53,15 +55,15 @@
         timing: Timing | None = None,
         is_strict: bool = True,
     ):
-        self.ledger = Ledger(is_strict)
+        self.checker = InvariantChecker(is_strict)
         self.site = Site(
             shape,
             seed,
-            self.ledger,
-            timing or Timing(compact_entries=200),
+            self.checker,
+            timing or Timing(snapshot_threshold=200),
             make_core=make_core,
         )
-        self.injected: collections.Counter[str] = collections.Counter()
+        self.injected_counts: collections.Counter[str] = collections.Counter()
         self._rng = random.Random(seed * 7919 + 1)
         self._submitted: list[tuple[str, list[float]]] = []
         self._unanswered = 0
@@ -105,7 +107,7 @@
     def do(self, name: str) -> None:
         """Performs an action, if it is possible now, and counts it."""
         if self.actions[name][1]():
-            self.injected[name] += 1
+            self.injected_counts[name] += 1
 
     def rest(self) -> None:
         """Repairs all faults, waits and checks the site.
@@ -133,7 +135,7 @@
 
     def _check_recovery(self) -> None:
         boxes = self.site.boxes.values()
-        busy = [box.name for box in boxes if not box.core.entry.is_idle]
+        busy = [box.name for box in boxes if not box.core.submissions.is_idle]
         assert not busy, f"boxes still have requests: {busy}"
         not_ready = [box.name for box in boxes if not box.core.is_ready]
         assert not not_ready, f"boxes not ready: {not_ready}"
@@ -157,7 +159,7 @@
         self.site.network.heal()
         self.site.run(PARTITION_MS)
         after = self._leaders(except_box=box)
-        self.ledger.on_return(
+        self.checker.on_return(
             before, {base: after.get(base) for base in before}
         )
 
@@ -242,9 +244,9 @@
                 self._unanswered -= 1
                 is_answered[0] = True
                 return
-            self.site.events.after(500.0, check)
+            self.site.events.call_later(500.0, check)
 
-        self.site.events.after(500.0, check)
+        self.site.events.call_later(500.0, check)
 
     # Requests of operators.
 
@@ -269,7 +271,7 @@
             replaces=base.version,
             limits=Limits(queue_ms=self._rng.randrange(500, 5000)),
         )
-        return bool(self.site.apply(box.name, cfg))
+        return bool(self.site.apply_config(box.name, cfg))
 
     # Faults.
 
@@ -311,7 +313,7 @@
     def _is_voting(self, box: FakeBox) -> bool:
         """Returns whether a control box votes in a group with all voters."""
         group = box.core.control.group
-        return group.is_voter and group.machine.is_open and group.is_whole
+        return group.is_voter and group.machine.is_open and group.has_all_voters
 
     def freeze(self) -> bool:
         """Suspends the process of a box without ending it."""
@@ -332,7 +334,7 @@
     def cut_hall(self) -> bool:
         """Partitions a hall from the others."""
         hall = self._rng.choice(list(self.site.shape.halls))
-        inside = self.site.places_in(hall)
+        inside = self.site.names_in(hall)
         outside = {*self.site.boxes, *self.site.workers} - inside
         self.site.network.cut(inside, outside)
         return True
@@ -364,9 +366,9 @@
         if box is None or box.is_frozen or box.name in self._stopping_boxes:
             return False
         self._stopping_boxes[box.name] = box.incarnation
-        box.do(lambda core: core.announce_stop())
+        box.call(lambda core: core.announce_stop())
         incarnation = box.incarnation
-        self.site.events.after(
+        self.site.events.call_later(
             500.0, lambda: self._begin_stop(box, incarnation)
         )
         return True
@@ -374,7 +376,7 @@
     def _begin_stop(self, box: FakeBox, incarnation: int) -> None:
         if box.incarnation != incarnation or box.core is None:
             return
-        box.do(lambda core: core.begin_stop())
+        box.call(lambda core: core.begin_stop())
         self._end_when_drained(box, incarnation)
 
     def _end_when_drained(self, box: FakeBox, incarnation: int) -> None:
@@ -383,10 +385,10 @@
         if box.core.is_drained:
             sent = self._requests_by_process.get((box.name, incarnation), [])
             for key, is_answered in sent:
-                self.ledger.on_planned_stop_answer(key, is_answered[0])
+                self.checker.on_planned_stop_answer(key, is_answered[0])
             box.crash()
             return
-        self.site.events.after(
+        self.site.events.call_later(
             50.0, lambda: self._end_when_drained(box, incarnation)
         )
 
--- a/packages/testbed/src/clayfield/testbed/controlsite.py
+++ b/packages/testbed/src/clayfield/testbed/control_site.py
@@ -9,14 +9,14 @@
 import random
 
 from clayfield.cluster import (
+    Broadcast,
     ControlNode,
     Persist,
-    Publish,
     Send,
-    Settled,
     VoterPolicy,
+    WriteFinished,
     WriteOutcome,
-    first_records,
+    make_initial_records,
 )
 from clayfield.state import Record, replay
 from clayfield.state.membership import box_of, node_name
@@ -36,17 +36,17 @@
     Attributes:
         clock: the manual clock that all of them share.
         nodes: the running nodes, by address.
-        settled: the outcome of each write, by request.
+        write_outcomes: the outcome of each write, by request.
         grants: every grant that a node broadcast, by epoch.
         configs: the configuration versions that a node broadcast, in order,
             by address.
-        first: the addresses of the initial nodes.
+        initial_addresses: the addresses of the initial nodes.
     """
 
     def __init__(self, count: int, seed: int):
         super().__init__()
         self.nodes: dict[str, ControlNode] = {}
-        self.settled: dict[int, WriteOutcome] = {}
+        self.write_outcomes: dict[int, WriteOutcome] = {}
         self.grants: dict[int, Grant] = {}
         self.configs: dict[str, list[int]] = {}
         self._rng = random.Random(seed)
@@ -56,12 +56,16 @@
         self._partitioned: set[str] = set()
         self._entry_halls: dict[str, str] = {}
         self._statuses: dict[str, EntryStatus] = {}
-        self.first = tuple(f"10.0.{n}.1:{PORT}" for n in range(count))
-        voters = tuple(node_name(address, 0) for address in self.first)
-        for address in self.first:
-            self._disks[address] = list(first_records(voters))
+        self.initial_addresses = tuple(
+            f"10.0.{n}.1:{PORT}" for n in range(count)
+        )
+        voters = tuple(
+            node_name(address, 0) for address in self.initial_addresses
+        )
+        for address in self.initial_addresses:
+            self._disks[address] = list(make_initial_records(voters))
             self._disk_ids[address] = 0
-        for address in self.first:
+        for address in self.initial_addresses:
             self.start(address)
 
     # Actions of tests.
@@ -81,36 +85,36 @@
             HEARTBEAT_MS,
         )
         self.nodes[address] = node
-        node.learn_addresses(self.first)
+        node.add_addresses(self.initial_addresses)
         for other in self.nodes.values():
             if other is not node and not self._is_partitioned(address, other):
                 self._connect(node, other)
         for entry, hall in self._entry_halls.items():
-            node.on_open(NodeGreeting("test", entry, "entry", hall))
+            node.on_connected(NodeGreeting("test", entry, "entry", hall))
         self._tick(address, node)
 
     def _connect(self, node: ControlNode, other: ControlNode) -> None:
-        node.on_open(_greeting(other))
-        other.on_open(_greeting(node))
+        node.on_connected(_greeting(other))
+        other.on_connected(_greeting(node))
 
     def kill(self, address: str) -> None:
         """Ends the process of a node."""
         killed = self.nodes.pop(address)
         for other in self.nodes.values():
-            other.on_closed(killed.node)
+            other.on_disconnected(killed.node)
 
-    def wipe(self, address: str) -> None:
+    def lose_disk(self, address: str) -> None:
         """Deletes the disk of a node that is not running."""
         del self._disks[address]
 
-    def cut_off(self, address: str) -> None:
+    def partition(self, address: str) -> None:
         """Partitions a node from the other control nodes."""
         self._partitioned.add(address)
         node = self.nodes[address]
         for other in self.nodes.values():
             if other is not node:
-                other.on_closed(node.node)
-                node.on_closed(other.node)
+                other.on_disconnected(node.node)
+                node.on_disconnected(other.node)
 
     def heal(self, address: str) -> None:
         """Ends the partition of a node."""
@@ -120,31 +124,33 @@
             if other is not node:
                 self._connect(node, other)
 
-    def add_entry(self, entry: str, hall: str) -> None:
+    def add_entry_node(self, entry: str, hall: str) -> None:
         """Connects an entry node to every control node."""
         self._entry_halls[entry] = hall
         self._statuses[entry] = EntryStatus(0, 0, False)
         for node in self.nodes.values():
-            node.on_open(NodeGreeting("test", entry, "entry", hall))
+            node.on_connected(NodeGreeting("test", entry, "entry", hall))
 
-    def remove_entry(self, entry: str) -> None:
+    def remove_entry_node(self, entry: str) -> None:
         """Disconnects an entry node from every control node."""
         del self._entry_halls[entry]
         del self._statuses[entry]
         for node in self.nodes.values():
-            node.on_closed(entry)
+            node.on_disconnected(entry)
 
-    def tell_status(self, entry: str, status: EntryStatus) -> None:
+    def send_status(self, entry: str, status: EntryStatus) -> None:
         """Sends the status of an entry node to every control node."""
         for node in self.nodes.values():
             node.on_message(entry, status)
 
     def leader(self) -> ControlNode | None:
         """Returns the leader whose state is current, if any."""
-        leaders = [node for node in self.nodes.values() if node.is_sure]
+        leaders = [
+            node for node in self.nodes.values() if node.is_state_current
+        ]
         return leaders[0] if leaders else None
 
-    def write(self, request: int, version: int) -> bool:
+    def write_config(self, request: int, version: int) -> bool:
         """Writes a configuration at the leader.
 
         Args:
@@ -157,7 +163,9 @@
         leader = self.leader()
         if leader is None:
             return False
-        is_accepted = leader.write(request, version, b"document-%d" % version)
+        is_accepted = leader.write_config(
+            request, version, b"document-%d" % version
+        )
         self._run_actions(box_of(leader.node), leader)
         return is_accepted
 
@@ -174,33 +182,35 @@
             return
         node.tick()
         self._run_actions(address, node)
-        self.after(TICK_MS, lambda: self._tick(address, node))
+        self.call_later(TICK_MS, lambda: self._tick(address, node))
 
     def _run_actions(self, address: str, node: ControlNode) -> None:
         for action in node.take_actions():
             match action:
                 case Send(node=to, message=message):
                     self._send(address, node, to, message)
-                case Publish(message=Grant() as grant):
+                case Broadcast(message=Grant() as grant):
                     self.grants[grant.epoch] = grant
                     self._report_epoch(grant)
-                case Publish():
+                case Broadcast():
                     self._record_version(address, node)
                 case Persist():
                     self._persist(address, node, action)
-                case Settled(request=request, outcome=outcome):
-                    self.settled[request] = outcome
+                case WriteFinished(request=request, outcome=outcome):
+                    self.write_outcomes[request] = outcome
 
     def _report_epoch(self, grant: Grant) -> None:
         """Makes every entry node report the epoch of a grant."""
         for entry in self._entry_halls:
             status = EntryStatus(0, grant.epoch, False)
             self._statuses[entry] = status
-            self.after(DELAY_MS, lambda e=entry, s=status: self._report(e, s))
+            self.call_later(
+                DELAY_MS, lambda e=entry, s=status: self._report(e, s)
+            )
 
     def _report(self, entry: str, status: EntryStatus) -> None:
         if entry in self._entry_halls:
-            self.tell_status(entry, status)
+            self.send_status(entry, status)
 
     def _record_version(self, address: str, node: ControlNode) -> None:
         versions = self.configs.setdefault(address, [])
@@ -230,7 +240,7 @@
             receiver.on_message(node.node, message)
             self._run_actions(box_of(to), receiver)
 
-        self.after(DELAY_MS, arrive)
+        self.call_later(DELAY_MS, arrive)
 
 
 def _greeting(node: ControlNode) -> NodeGreeting:
--- a/packages/testbed/src/clayfield/testbed/demo.py
+++ b/packages/testbed/src/clayfield/testbed/demo.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from clayfield.testbed.mixes import MIXES, Kind
+from clayfield.testbed.mixes import MIXES, JobKind
 from clayfield.testbed.processes import Cluster
 
 HALLS = {"ordervaart": "west-1", "ventanal": "mvd-1"}
@@ -32,7 +32,7 @@
 
     __slots__ = ("body", "job", "kind", "response_ms", "status")
 
-    def __init__(self, job: dict, kind: Kind):
+    def __init__(self, job: dict, kind: JobKind):
         self.job = job
         self.kind = kind
         self.status = -1
@@ -44,7 +44,7 @@
         """The duration of the longest task, in ms."""
         return max(task["run_ms"] for task in self.job["tasks"])
 
-    def fault(self) -> str:
+    def find_error(self) -> str:
         """Returns the error in the response, "" for none."""
         if self.status <= 0:
             return "missing"
@@ -58,7 +58,7 @@
 
 def run_jobs(
     jobs: list[dict],
-    kinds: tuple[Kind, ...],
+    kinds: tuple[JobKind, ...],
     ports: list[int],
     key_prefix: str = "",
 ) -> list[Outcome]:
@@ -79,12 +79,12 @@
     asyncioreactor.install(loop)
     from twisted.internet import reactor
 
-    from clayfield.testbed.load import Callers
+    from clayfield.testbed.load import JobClient
 
     by_job = {kind.job: kind for kind in kinds}
     outcomes = [Outcome(job, by_job[job["job"]]) for job in jobs]
     callers = {
-        (port, kind.token): Callers(reactor, port, kind.token)
+        (port, kind.token): JobClient(reactor, port, kind.token)
         for port in ports
         for kind in kinds
     }
@@ -113,7 +113,7 @@
 
 
 def print_table(
-    name: str, kinds: tuple[Kind, ...], outcomes: list[Outcome]
+    name: str, kinds: tuple[JobKind, ...], outcomes: list[Outcome]
 ) -> None:
     """Prints a line for each priority class.
 
@@ -157,7 +157,7 @@
             WORKERS,
         ) as cluster,
     ):
-        ports = [box.callers for box in cluster.boxes.values()]
+        ports = [box.callers_port for box in cluster.boxes.values()]
         outcomes = run_jobs(jobs, kinds, ports)
         counts = json.loads(cluster.workers.counts())
     sys.exit(report(flags.name, kinds, outcomes, counts))
@@ -165,7 +165,7 @@
 
 def report(
     name: str,
-    kinds: tuple[Kind, ...],
+    kinds: tuple[JobKind, ...],
     outcomes: list[Outcome],
     counts: dict,
 ) -> int:
@@ -188,7 +188,7 @@
         f"wasted messages per completed task: {wasted / max(1, tasks):.4f}"
         f" ({wasted} of {tasks})"
     )
-    errors = [out.fault() for out in outcomes]
+    errors = [out.find_error() for out in outcomes]
     wrong = {kind: errors.count(kind) for kind in sorted({*errors} - {""})}
     if counts["doubled"]:
         wrong["doubled"] = counts["doubled"]
--- a/packages/testbed/src/clayfield/testbed/drills.py
+++ b/packages/testbed/src/clayfield/testbed/drills.py
@@ -12,19 +12,19 @@
 
 import msgspec
 
-from clayfield.base import Kind
+from clayfield.base import ErrorKind
 from clayfield.config import Configuration, Limits
 from clayfield.state.membership import box_of
 from clayfield.testbed.box import FakeBox
 from clayfield.testbed.site import Site, SiteShape
 from clayfield.wire.messages import Outcome
 
-ONE_HALL = SiteShape({"h1": 3}, control=3, workers=2, slots=4)
+ONE_HALL = SiteShape({"h1": 3}, control_count=3, workers=2, slots=4)
 THREE_HALLS = SiteShape(
-    {"h1": 3, "h2": 3, "h3": 3}, control=3, workers=2, slots=4
+    {"h1": 3, "h2": 3, "h3": 3}, control_count=3, workers=2, slots=4
 )
-FOUR_BOXES = SiteShape({"h1": 4}, control=3, workers=2, slots=4)
-TWO_HALLS = SiteShape({"h1": 3, "h2": 3}, control=3, workers=2, slots=4)
+FOUR_BOXES = SiteShape({"h1": 4}, control_count=3, workers=2, slots=4)
+TWO_HALLS = SiteShape({"h1": 3, "h2": 3}, control_count=3, workers=2, slots=4)
 TASKS_MS = [80.0, 120.0]
 SHORT_MS = 1500.0
 LONG_MS = 6000.0
@@ -94,7 +94,7 @@
         cfg = msgspec.structs.replace(
             base, replaces=base.version, limits=Limits(queue_ms=queue_ms)
         )
-        return self.site.apply(box, cfg)
+        return self.site.apply_config(box, cfg)
 
     def run_until(
         self,
@@ -244,7 +244,7 @@
 def hall_cut_off(seed: int) -> None:
     """A partitioned hall serves its own keys and rejects all others."""
     drill = Drill(seed, THREE_HALLS)
-    inside = drill.site.places_in("h2")
+    inside = drill.site.names_in("h2")
     outside = {*drill.site.boxes, *drill.site.workers} - inside
     drill.site.network.cut(inside, outside)
     drill.submit("h2-b", "h2:k")
@@ -253,7 +253,7 @@
     drill.site.run(LONG_MS)
     assert drill.statuses("h2:k") == [200]
     assert drill.statuses("h1:l") == [200]
-    assert drill.statuses("h1:k") == [Kind.NO_REGISTRY.status]
+    assert drill.statuses("h1:k") == [ErrorKind.NO_REGISTRY.status]
     drill.resubmit_all()
 
 
@@ -270,7 +270,7 @@
     drill.submit("h2-a", "h2:k")
     drill.submit("h2-b", "h2.2:new")
     drill.site.run(SHORT_MS)
-    assert drill.statuses("h2:k") == [200, Kind.CLAIMS_LOST.status]
+    assert drill.statuses("h2:k") == [200, ErrorKind.CLAIMS_LOST.status]
     assert drill.statuses("h2.2:new") == [200]
     drill.resubmit_all()
 
@@ -330,7 +330,7 @@
     for worker in drill.site.workers.values():
         worker.revive()
     drill.site.run(LONG_MS)
-    assert drill.statuses("h1:k") == [Kind.TASK_LOST.status]
+    assert drill.statuses("h1:k") == [ErrorKind.TASK_LOST.status]
     drill.resubmit_all()
 
 
@@ -347,7 +347,7 @@
         drill.site.run(SHORT_MS)
     codes = [drill.site.boxes[b].applied[n].code for b, n in requests]
     assert codes[:2] == codes[2:]
-    assert sorted(codes[:2]) == ["", Kind.VERSION_RACE.code]
+    assert sorted(codes[:2]) == ["", ErrorKind.VERSION_RACE.code]
 
 
 def resent_after_many_changes(seed: int) -> None:
@@ -412,7 +412,7 @@
         drill.site.network.heal()
         drill.site.run(LONG_MS)
         after = {group: _term_of(drill.leader(group), group)}
-        drill.site.ledger.on_return(before, after)
+        drill.site.checker.on_return(before, after)
 
 
 def _term_of(box: FakeBox, group: str) -> int:
@@ -435,8 +435,8 @@
         for _ in range(10):
             submit(name)
             drill.site.run(15)
-        box.do(lambda core: core.announce_stop())
-        box.do(lambda core: core.begin_stop())
+        box.call(lambda core: core.announce_stop())
+        box.call(lambda core: core.begin_stop())
         core = box.core
         drill.run_until(lambda core=core: core.is_drained, 30.0, submit)
         box.crash()
@@ -446,7 +446,7 @@
     drill.site.run(LONG_MS)
     for key in drill.answers:
         is_whole = drill.statuses(key) == [200]
-        drill.site.ledger.on_planned_stop_answer(key, is_whole)
+        drill.site.checker.on_planned_stop_answer(key, is_whole)
 
 
 DRILLS: dict[str, Callable[[int], None]] = {
--- a/packages/testbed/src/clayfield/testbed/events.py
+++ b/packages/testbed/src/clayfield/testbed/events.py
@@ -26,7 +26,7 @@
         """Returns the present time, in ms."""
         return self.clock.now_ms()
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Schedules a call `delay_ms` from now."""
         self._last_number += 1
         due_ms = self.clock.now_ms() + delay_ms
--- a/packages/testbed/src/clayfield/testbed/fakeleader.py
+++ b/packages/testbed/src/clayfield/testbed/fake_leader.py
@@ -8,14 +8,18 @@
 from collections.abc import Callable
 
 from clayfield.base import Clock
-from clayfield.cluster.directory import ControlState, SetJobs, encode_command
+from clayfield.cluster.control_state import (
+    ControlState,
+    SetJobs,
+    encode_command,
+)
 from clayfield.wire.cluster import (
     EntryStatus,
     Grant,
     decode_batch,
     encode_batch,
 )
-from clayfield.wire.ledger import (
+from clayfield.wire.job_store import (
     HolderLease,
     JobsLoaded,
     JobsWritten,
@@ -35,19 +39,19 @@
 
     Attributes:
         hall: the hall it is in.
-        is_silent: whether it ignores all messages and commits nothing.
+        is_unresponsive: whether it ignores all messages and commits nothing.
         commit_ms: duration of a commit, in ms.
-        cut_off: names of the nodes that cannot reach it.
+        unreachable_from: names of the nodes that cannot reach it.
         state: the replicated state.
     """
 
-    def __init__(self, clock: Clock, after: After, send: Send):
+    def __init__(self, clock: Clock, call_later: After, send: Send):
         self.hall = ""
-        self.is_silent = False
+        self.is_unresponsive = False
         self.commit_ms = COMMIT_MS
-        self.cut_off: set[str] = set()
+        self.unreachable_from: set[str] = set()
         self.state = ControlState(clock)
-        self._after = after
+        self._call_later = call_later
         self._send_copy = send
 
     @property
@@ -61,7 +65,7 @@
 
     def on_message(self, node: str, message: Message) -> None:
         """Handles a message of an entry node."""
-        if self.is_silent or node in self.cut_off:
+        if self.is_unresponsive or node in self.unreachable_from:
             return
         match message:
             case EntryStatus(epoch=epoch, sent_ms=sent_ms):
@@ -71,7 +75,9 @@
                 if self._is_holder(node, epoch):
                     self._send(node, self._make_jobs_loaded(request))
             case WriteJobs():
-                self._after(self.commit_ms, lambda: self._commit(node, message))
+                self._call_later(
+                    self.commit_ms, lambda: self._commit(node, message)
+                )
 
     def _send(self, node: str, message: Message) -> None:
         """Sends a message after a round trip through the wire format."""
@@ -83,10 +89,12 @@
 
     def _make_jobs_loaded(self, request: int) -> JobsLoaded:
         jobs = self.state.jobs
-        return JobsLoaded(request, 0, True, jobs.open_jobs(), jobs.ended())
+        return JobsLoaded(
+            request, 0, True, jobs.open_jobs(), jobs.ended_states()
+        )
 
     def _commit(self, node: str, write: WriteJobs) -> None:
-        if self.is_silent:
+        if self.is_unresponsive:
             return
         command = encode_command(SetJobs(write.epoch, write.changes))
         if self.state.apply(command):
--- a/packages/testbed/src/clayfield/testbed/fakeworker.py
+++ b/packages/testbed/src/clayfield/testbed/fake_worker.py
@@ -12,18 +12,18 @@
 
 from clayfield.base import Clock
 from clayfield.pool import (
-    EndedRow,
+    CommandResult,
+    EndedRun,
     EndKind,
-    HoldAnswer,
-    HoldWorker,
-    OrderResult,
-    PaceRun,
-    RunningRow,
+    PollReply,
+    PollWorker,
+    RunningRun,
     StartRun,
     StopRun,
     TaskId,
+    ThrottleRun,
 )
-from clayfield.testbed.fakeadvisor import FakeAdvisor
+from clayfield.testbed.fake_advisor import FakeAdvisor
 from clayfield.wire.jobs import WorkerInfo
 
 LEASE_MS = 1000.0
@@ -31,12 +31,12 @@
 GANG_TIMEOUT_MS = 3000.0
 THROTTLE_DELAY_MS = 100.0
 IDLE_TAIL_MS = 50.0
-PLACE_CPU = 6800
+SLOT_CPU = 6800
 
 
 def write_checkpoint(task_id: TaskId, done_ms: float) -> str:
     """Returns the checkpoint of a task after `done_ms` of work."""
-    numbers = f"{task_id.time}/{task_id.step}/{task_id.index}"
+    numbers = f"{task_id.iteration}/{task_id.step}/{task_id.index}"
     return f"{task_id.job}/{numbers}/{done_ms}"
 
 
@@ -58,24 +58,24 @@
     Attributes:
         clock: the clock of the worker.
         rng: varies the duration of tasks.
-        ran: every run that a worker executed.
-        over_room: the tasks that were started on a worker without free CPU.
+        runs: every run that a worker executed.
+        over_capacity: the tasks that were started on a worker without free CPU.
         gangs: the gangs, by job and step.
-        advised: keys of the jobs that need a ticket of the advisor.
+        advised_jobs: keys of the jobs that need a ticket of the advisor.
         advisor: checks the tickets of starts.
-        filling: keys of the jobs with batch tasks.
+        batch_jobs: keys of the jobs with batch tasks.
     """
 
     clock: Clock
     rng: random.Random
-    ran: list["RanTask"]
-    over_room: list[TaskId]
+    runs: list["ExecutedRun"]
+    over_capacity: list[TaskId]
     gangs: dict[tuple[str, int], "FakeGang"]
-    advised: set[str]
+    advised_jobs: set[str]
     advisor: FakeAdvisor
-    filling: set[str]
+    batch_jobs: set[str]
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Schedules a call after a delay."""
 
 
@@ -88,20 +88,22 @@
 
     def __init__(self, size: int):
         self.size = size
-        self._present: dict[int, list[tuple[FakeWorker, RanTask]]] = {}
+        self._present: dict[int, list[tuple[FakeWorker, ExecutedRun]]] = {}
 
-    def join(self, worker: "FakeWorker", run: "RanTask") -> bool:
+    def join(self, worker: "FakeWorker", run: "ExecutedRun") -> bool:
         """Adds a task of a run; returns whether all tasks have started."""
         present_runs = self._present.setdefault(run.number, [])
         present_runs.append((worker, run))
         return len(present_runs) == self.size
 
-    def present_runs(self, number: int) -> list[tuple["FakeWorker", "RanTask"]]:
+    def present_runs(
+        self, number: int
+    ) -> list[tuple["FakeWorker", "ExecutedRun"]]:
         """Returns the tasks that started in a run, with their workers."""
         return list(self._present.get(number, ()))
 
 
-class RanTask:
+class ExecutedRun:
     """A run that a worker executed.
 
     Attributes:
@@ -111,19 +113,20 @@
         start_ms: time of the start.
         end_ms: time of the end, None while it runs.
         kind: how it ended, None while it runs.
-        from_ms: work done by earlier runs according to the checkpoint, in ms.
-        percent: speed of the run, in percent of its full speed.
-        is_noted: whether its end was acknowledged before the worker's lease
+        resumed_ms: work done by earlier runs according to the checkpoint, in
+            ms.
+        speed_percent: speed of the run, in percent of its full speed.
+        is_acked: whether its end was acknowledged before the worker's lease
             expired.
     """
 
     __slots__ = (
         "end_ms",
-        "from_ms",
-        "is_noted",
+        "resumed_ms",
+        "is_acked",
         "kind",
         "number",
-        "percent",
+        "speed_percent",
         "start_ms",
         "task_id",
         "worker",
@@ -138,9 +141,9 @@
         self.start_ms = start_ms
         self.end_ms: float | None = None
         self.kind: EndKind | None = None
-        self.is_noted = False
-        self.from_ms = 0.0
-        self.percent = 100
+        self.is_acked = False
+        self.resumed_ms = 0.0
+        self.speed_percent = 100
 
 
 class FakeWorker:
@@ -149,107 +152,115 @@
     Attributes:
         info: its description, as announced in heartbeats.
         task_ms: mean duration of a task, in ms.
-        spread: largest relative deviation from that duration.
-        late_share: share of the start requests that get no reply and are
-            executed late.
+        duration_spread: largest relative deviation from that duration.
+        delayed_start_share: share of the start requests that get no reply and
+            are executed late.
         is_failing: whether every task fails.
-        is_hanging: whether tasks never end.
-        is_gone: whether another incarnation answers at its address.
-        disturb_ms: by how much one batch task at full speed raises the tail
-            latency of the latency-sensitive tasks, in ms.
-        is_guarding: whether it rejects a start without enough free CPU.
+        is_hung: whether tasks never end.
+        is_replaced: whether another incarnation answers at its address.
+        interference_ms: by how much one batch task at full speed raises the
+            tail latency of the latency-sensitive tasks, in ms.
+        enforces_capacity: whether it rejects a start without enough free CPU.
     """
 
     def __init__(self, site: WorkerSite, info: WorkerInfo, task_ms: float):
         self.info = info
         self.task_ms = task_ms
-        self.spread = 0.0
-        self.late_share = 0.0
+        self.duration_spread = 0.0
+        self.delayed_start_share = 0.0
         self.is_failing = False
-        self.is_hanging = False
-        self.is_gone = False
-        self.is_guarding = True
-        self.disturb_ms = 0.0
+        self.is_hung = False
+        self.is_replaced = False
+        self.enforces_capacity = True
+        self.interference_ms = 0.0
         self._site = site
         self._fence = 0
         self._lease_until_ms = 0.0
-        self._running: dict[TaskId, RanTask] = {}
+        self._running: dict[TaskId, ExecutedRun] = {}
         self._last_numbers: dict[TaskId, int] = {}
-        self._ended: list[EndedRow] = []
-        self._unacked: dict[int, RanTask] = {}
+        self._ended: list[EndedRun] = []
+        self._unacked: dict[int, ExecutedRun] = {}
         self._sequence = 0
         self._pending_polls: list[Callable[[], None]] = []
 
-    def start(self, request: StartRun) -> OrderResult:
+    def start(self, request: StartRun) -> CommandResult:
         """Returns the result of a start request."""
         if request.fence < self._fence:
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         self._fence = request.fence
         if request.lease_until_ms <= self._site.clock.now_ms():
-            return OrderResult.TOO_LATE
+            return CommandResult.TOO_LATE
         self._renew(request.lease_until_ms)
         running = self._running.get(request.task_id)
         if running and running.number == request.number:
-            return OrderResult.DONE
-        is_advised = request.task_id.job in self._site.advised
+            return CommandResult.DONE
+        is_advised = request.task_id.job in self._site.advised_jobs
         if is_advised and not self._site.advisor.accepts(request):
-            return OrderResult.NO_TICKET
+            return CommandResult.NO_TICKET
         if self._last_numbers.get(request.task_id, 0) >= request.number:
-            return OrderResult.OLD_RUN
+            return CommandResult.OLD_RUN
         if not self._has_capacity(request.task_id):
-            if self.is_guarding:
-                return OrderResult.NO_ROOM
-            self._site.over_room.append(request.task_id)
+            if self.enforces_capacity:
+                return CommandResult.NO_ROOM
+            self._site.over_capacity.append(request.task_id)
         self._begin(request)
-        return OrderResult.DONE
+        return CommandResult.DONE
 
     def _has_capacity(self, task_id: TaskId) -> bool:
-        batch_jobs = self._site.filling
+        batch_jobs = self._site.batch_jobs
         if task_id.job in batch_jobs:
             return True
         placed = sum(running.job not in batch_jobs for running in self._running)
-        return (placed + 1) * PLACE_CPU <= self.info.cpu
+        return (placed + 1) * SLOT_CPU <= self.info.cpu
 
     def _begin(self, request: StartRun) -> None:
         """Records a new run and schedules its end."""
         now_ms = self._site.clock.now_ms()
-        run = RanTask(request.task_id, request.number, self.info.name, now_ms)
+        run = ExecutedRun(
+            request.task_id, request.number, self.info.name, now_ms
+        )
         self._running[request.task_id] = run
         self._last_numbers[request.task_id] = request.number
-        self._site.ran.append(run)
+        self._site.runs.append(run)
         if request.checkpoint:
-            run.from_ms = read_checkpoint(request.checkpoint, request.task_id)
+            run.resumed_ms = read_checkpoint(
+                request.checkpoint, request.task_id
+            )
         kind = EndKind.FAILED if self.is_failing else EndKind.DONE
-        spread = self._site.rng.uniform(1 - self.spread, 1 + self.spread)
+        spread = self._site.rng.uniform(
+            1 - self.duration_spread, 1 + self.duration_spread
+        )
         gang = self._site.gangs.get((request.task_id.job, request.task_id.step))
         if gang:
             self._join_gang(gang, run, kind)
-        elif not self.is_hanging:
-            duration_ms = max(0.0, self.task_ms * spread - run.from_ms)
-            self._site.after(duration_ms, lambda: self._end(run, kind))
+        elif not self.is_hung:
+            duration_ms = max(0.0, self.task_ms * spread - run.resumed_ms)
+            self._site.call_later(duration_ms, lambda: self._end(run, kind))
 
-    def _join_gang(self, gang: FakeGang, run: RanTask, kind: EndKind) -> None:
+    def _join_gang(
+        self, gang: FakeGang, run: ExecutedRun, kind: EndKind
+    ) -> None:
         """Schedules the end of all tasks of a gang once all have started."""
         if not gang.join(self, run):
             expire = functools.partial(self._end_alone, gang, run)
-            self._site.after(GANG_TIMEOUT_MS, expire)
+            self._site.call_later(GANG_TIMEOUT_MS, expire)
             return
         for worker, other in gang.present_runs(run.number):
             end = functools.partial(worker._end, other, kind)
-            self._site.after(self.task_ms, end)
+            self._site.call_later(self.task_ms, end)
 
-    def _end_alone(self, gang: FakeGang, run: RanTask) -> None:
+    def _end_alone(self, gang: FakeGang, run: ExecutedRun) -> None:
         """Ends a run of a gang whose other tasks have not all started."""
         if len(gang.present_runs(run.number)) < gang.size:
             self._end(run, EndKind.ALONE)
 
-    def _break_gang(self, run: RanTask) -> None:
+    def _break_gang(self, run: ExecutedRun) -> None:
         """Ends the other tasks of a gang after one of them did not succeed."""
         gang = self._site.gangs.get((run.task_id.job, run.task_id.step))
         for worker, other in gang.present_runs(run.number) if gang else ():
             worker._end(other, EndKind.BROKEN)
 
-    def _end(self, run: RanTask, kind: EndKind) -> None:
+    def _end(self, run: ExecutedRun, kind: EndKind) -> None:
         """Ends a run, if it is running, and replies to the pending polls."""
         if self._running.get(run.task_id) is not run:
             return
@@ -258,7 +269,7 @@
         run.kind = kind
         self._sequence += 1
         self._ended.append(
-            EndedRow(
+            EndedRun(
                 self._sequence,
                 run.task_id,
                 run.number,
@@ -274,58 +285,58 @@
         if kind is not EndKind.DONE:
             self._break_gang(run)
 
-    def stop(self, request: StopRun) -> OrderResult:
+    def stop(self, request: StopRun) -> CommandResult:
         """Handles a stop request: stops the run or bars its later start."""
         if request.fence < self._fence:
-            return OrderResult.FENCED
+            return CommandResult.FENCED
         self._fence = request.fence
         last_number = self._last_numbers.get(request.task_id, 0)
         self._last_numbers[request.task_id] = max(last_number, request.number)
         run = self._running.get(request.task_id)
         if run and run.number == request.number:
-            self._site.after(
+            self._site.call_later(
                 STOP_DELAY_MS, lambda: self._end(run, EndKind.STOPPED)
             )
-        return OrderResult.DONE
+        return CommandResult.DONE
 
-    def pace(self, request: PaceRun) -> None:
+    def throttle(self, request: ThrottleRun) -> None:
         """Handles a throttle request; it takes effect after a delay."""
         run = self._running.get(request.task_id)
         if request.fence < self._fence or run is None:
             return
         set_percent = functools.partial(
-            setattr, run, "percent", request.percent
+            setattr, run, "speed_percent", request.speed_percent
         )
-        self._site.after(THROTTLE_DELAY_MS, set_percent)
+        self._site.call_later(THROTTLE_DELAY_MS, set_percent)
 
     @property
     def tail_ms(self) -> float:
         """Tail latency of the latency-sensitive tasks, in ms."""
         speeds = [
-            run.percent / 100
+            run.speed_percent / 100
             for run in self._running.values()
-            if run.task_id.job in self._site.filling
+            if run.task_id.job in self._site.batch_jobs
         ]
-        return IDLE_TAIL_MS + self.disturb_ms * sum(speeds)
+        return IDLE_TAIL_MS + self.interference_ms * sum(speeds)
 
-    def hold(
-        self, request: HoldWorker, send_reply: Callable[[HoldAnswer], None]
+    def poll(
+        self, request: PollWorker, send_reply: Callable[[PollReply], None]
     ) -> None:
         """Handles a poll: renews the lease and replies with the runs.
 
         The reply is sent at once if there are unacknowledged ends, else at the
         next end of a run or after the wait of the poll.
         """
-        if self.is_gone:
-            send_reply(HoldAnswer(OrderResult.GONE))
+        if self.is_replaced:
+            send_reply(PollReply(CommandResult.GONE))
             return
         if request.fence < self._fence:
-            send_reply(HoldAnswer(OrderResult.FENCED))
+            send_reply(PollReply(CommandResult.FENCED))
             return
         self._fence = request.fence
         if request.lease_until_ms is not None:
             self._renew(request.lease_until_ms)
-        self._drop_acked_ends(request.seen_upto)
+        self._drop_acked_ends(request.acked_sequence)
         if self._ended or not request.wait_ms:
             send_reply(self._make_reply())
             return
@@ -338,31 +349,31 @@
                 send_reply(self._make_reply())
 
         self._pending_polls.append(reply_once)
-        self._site.after(request.wait_ms, reply_once)
+        self._site.call_later(request.wait_ms, reply_once)
 
     def _drop_acked_ends(self, acked: int) -> None:
         """Drops the acknowledged ends, up to a sequence number."""
         self._ended = [row for row in self._ended if row.sequence > acked]
         for sequence in [s for s in self._unacked if s <= acked]:
-            self._unacked.pop(sequence).is_noted = True
+            self._unacked.pop(sequence).is_acked = True
 
-    def _make_reply(self) -> HoldAnswer:
+    def _make_reply(self) -> PollReply:
         running = [
-            RunningRow(
+            RunningRun(
                 run.task_id,
                 run.number,
-                run.percent,
+                run.speed_percent,
                 self._checkpoint(run),
                 self.tail_ms,
             )
             for run in self._running.values()
         ]
         now_ms = self._site.clock.now_ms()
-        return HoldAnswer(OrderResult.DONE, now_ms, running, self._ended[:])
+        return PollReply(CommandResult.DONE, now_ms, running, self._ended[:])
 
-    def _checkpoint(self, run: RanTask) -> str:
+    def _checkpoint(self, run: ExecutedRun) -> str:
         elapsed_ms = self._site.clock.now_ms() - run.start_ms
-        return write_checkpoint(run.task_id, run.from_ms + elapsed_ms)
+        return write_checkpoint(run.task_id, run.resumed_ms + elapsed_ms)
 
     def _renew(self, until_ms: float) -> None:
         """Renews the lease and schedules the check for its expiry."""
@@ -370,7 +381,7 @@
         until_ms = min(until_ms, now_ms + LEASE_MS)
         self._lease_until_ms = max(self._lease_until_ms, until_ms)
         remaining_ms = self._lease_until_ms - now_ms
-        self._site.after(remaining_ms, self._expire_lease)
+        self._site.call_later(remaining_ms, self._expire_lease)
 
     def _expire_lease(self) -> None:
         """Ends all runs if the lease has expired."""
--- a/packages/testbed/src/clayfield/testbed/ledger.py
+++ b/packages/testbed/src/clayfield/testbed/invariants.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from clayfield.base import Ran
-from clayfield.dispatch import read_problem
+from clayfield.dispatch import parse_problem
 from clayfield.wire.messages import Outcome
 
 AT_MOST_ONCE = "starts_at_most_once"
@@ -22,7 +22,7 @@
 UNIQUE_VERSION = "one_configuration_a_version"
 SAME_ANSWER = "same_answer_every_time"
 LEADER_KEPT = "return_deposes_nobody"
-PROMISES = (
+INVARIANTS = (
     AT_MOST_ONCE,
     COMPLETE_ANSWER,
     OWN_ANSWER,
@@ -40,30 +40,30 @@
     """An invariant was violated.
 
     Attributes:
-        promise: name of the invariant.
+        invariant: name of the invariant.
     """
 
-    def __init__(self, promise: str, detail: str):
-        super().__init__(f"{promise}: {detail}")
-        self.promise = promise
+    def __init__(self, invariant: str, detail: str):
+        super().__init__(f"{invariant}: {detail}")
+        self.invariant = invariant
 
 
-class Ledger:
+class InvariantChecker:
     """Records the requests, answers and starts, and checks the invariants.
 
     Attributes:
         starts: names of the workers that started a task, by key and number of
             the task.
-        checked: number of checks, by invariant.
-        violations: number of violations, by invariant.
+        check_counts: number of checks, by invariant.
+        violation_counts: number of violations, by invariant.
         may_repeat: keys of the jobs whose lost tasks may be started again.
         is_strict: whether the first violation raises an error.
     """
 
     def __init__(self, is_strict: bool = True):
         self.starts: dict[tuple[str, int], list[str]] = {}
-        self.checked: collections.Counter[str] = collections.Counter()
-        self.violations: collections.Counter[str] = collections.Counter()
+        self.check_counts: collections.Counter[str] = collections.Counter()
+        self.violation_counts: collections.Counter[str] = collections.Counter()
         self.is_strict = is_strict
         self.may_repeat: set[str] = set()
         self._started_keys: collections.Counter[str] = collections.Counter()
@@ -100,7 +100,7 @@
         if outcome.status == 200:
             self._on_complete(key, outcome.body)
             return
-        problem = read_problem(outcome.body)
+        problem = parse_problem(outcome.body)
         if problem.ran == Ran.NO:
             count = self._started_keys[key]
             self._check(
@@ -162,10 +162,10 @@
             f"{terms_before} → {terms_after}",
         )
 
-    def _check(self, promise: str, is_met: bool, detail: str) -> None:
-        self.checked[promise] += 1
+    def _check(self, invariant: str, is_met: bool, detail: str) -> None:
+        self.check_counts[invariant] += 1
         if is_met:
             return
-        self.violations[promise] += 1
+        self.violation_counts[invariant] += 1
         if self.is_strict:
-            raise ViolationError(promise, detail)
+            raise ViolationError(invariant, detail)
--- a/packages/testbed/src/clayfield/testbed/load.py
+++ b/packages/testbed/src/clayfield/testbed/load.py
@@ -15,7 +15,7 @@
 class _Connection(protocol.Protocol):
     """A connection, with one request at a time."""
 
-    def __init__(self, pool: "Callers"):
+    def __init__(self, pool: "JobClient"):
         self._pool = pool
         self._parser: httptools.HttpResponseParser | None = None
         self._on_answer: OnAnswer | None = None
@@ -56,7 +56,7 @@
             on_answer(status, body, elapsed_ms)
 
 
-class Callers(protocol.Factory):
+class JobClient(protocol.Factory):
     """Submits jobs to one box over as many connections as needed.
 
     Attributes:
--- a/packages/testbed/src/clayfield/testbed/mixes.py
+++ b/packages/testbed/src/clayfield/testbed/mixes.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 
-class Kind:
+class JobKind:
     """A kind of job in a mix.
 
     Attributes:
@@ -18,19 +18,19 @@
         priority: name of the priority class.
         service: name of the service.
         share: its share of all jobs of the mix.
-        low_ms: duration of the shortest task, in ms.
-        high_ms: duration of the longest task, in ms.
-        most_tasks: largest number of tasks in a job.
+        min_task_ms: duration of the shortest task, in ms.
+        max_task_ms: duration of the longest task, in ms.
+        max_tasks: largest number of tasks in a job.
         is_repeatable: whether a lost task may be started again.
     """
 
     __slots__ = (
-        "high_ms",
+        "max_task_ms",
         "is_repeatable",
         "job",
-        "low_ms",
+        "min_task_ms",
         "member",
-        "most_tasks",
+        "max_tasks",
         "priority",
         "service",
         "share",
@@ -45,9 +45,9 @@
         priority: str,
         service: str,
         share: float,
-        low_ms: int,
-        high_ms: int,
-        most_tasks: int,
+        min_task_ms: int,
+        max_task_ms: int,
+        max_tasks: int,
         is_repeatable: bool = False,
     ):
         self.job = job
@@ -56,19 +56,19 @@
         self.priority = priority
         self.service = service
         self.share = share
-        self.low_ms = low_ms
-        self.high_ms = high_ms
-        self.most_tasks = most_tasks
+        self.min_task_ms = min_task_ms
+        self.max_task_ms = max_task_ms
+        self.max_tasks = max_tasks
         self.is_repeatable = is_repeatable
 
     @property
     def mean_work_ms(self) -> float:
         """The mean slot time of a job of this kind, in ms."""
-        tasks = (1 + self.most_tasks) / 2
-        return tasks * (self.low_ms + self.high_ms) / 2
+        tasks = (1 + self.max_tasks) / 2
+        return tasks * (self.min_task_ms + self.max_task_ms) / 2
 
 
-class Job:
+class DrawnJob:
     """A job drawn from a mix.
 
     Attributes:
@@ -78,13 +78,13 @@
 
     __slots__ = ("kind", "run_ms")
 
-    def __init__(self, kind: Kind, run_ms: list[float]):
+    def __init__(self, kind: JobKind, run_ms: list[float]):
         self.kind = kind
         self.run_ms = run_ms
 
 
 ORDERVAART = (
-    Kind(
+    JobKind(
         "cancel-order",
         "amsterdam",
         "desk-amsterdam",
@@ -95,7 +95,7 @@
         80,
         1,
     ),
-    Kind(
+    JobKind(
         "amend-order",
         "rotterdam",
         "desk-rotterdam",
@@ -106,7 +106,7 @@
         150,
         2,
     ),
-    Kind(
+    JobKind(
         "check-order",
         "amsterdam",
         "desk-amsterdam",
@@ -117,7 +117,7 @@
         200,
         4,
     ),
-    Kind(
+    JobKind(
         "look-up-margin",
         "rotterdam",
         "desk-rotterdam",
@@ -131,7 +131,7 @@
     ),
 )
 VENTANAL = (
-    Kind(
+    JobKind(
         "cut",
         "workshops",
         "workshop",
@@ -142,7 +142,7 @@
         500,
         2,
     ),
-    Kind(
+    JobKind(
         "quote-openings",
         "showrooms",
         "showroom",
@@ -153,7 +153,7 @@
         300,
         8,
     ),
-    Kind(
+    JobKind(
         "check-glazing",
         "workshops",
         "workshop",
@@ -177,7 +177,7 @@
         seed: the seed of the generator.
     """
 
-    def __init__(self, kinds: tuple[Kind, ...], seed: int):
+    def __init__(self, kinds: tuple[JobKind, ...], seed: int):
         self._kinds = kinds
         self._rng = np.random.default_rng(seed)
         self._shares = [kind.share for kind in kinds]
@@ -187,13 +187,13 @@
         """The mean slot time of a job of the mix, in ms."""
         return sum(kind.share * kind.mean_work_ms for kind in self._kinds)
 
-    def draw(self) -> Job:
+    def draw(self) -> DrawnJob:
         """Returns the next job."""
         kind = self._kinds[self._rng.choice(len(self._kinds), p=self._shares)]
-        tasks = int(self._rng.integers(1, kind.most_tasks + 1))
-        run_ms = self._rng.uniform(kind.low_ms, kind.high_ms, tasks)
-        return Job(kind, [round(float(task_ms), 1) for task_ms in run_ms])
+        tasks = int(self._rng.integers(1, kind.max_tasks + 1))
+        run_ms = self._rng.uniform(kind.min_task_ms, kind.max_task_ms, tasks)
+        return DrawnJob(kind, [round(float(task_ms), 1) for task_ms in run_ms])
 
-    def gap_ms(self, jobs_per_s: float) -> float:
+    def draw_gap_ms(self, jobs_per_s: float) -> float:
         """Draws the time to the next arrival at a rate, in ms."""
         return float(self._rng.exponential(1000.0 / jobs_per_s))
--- a/packages/testbed/src/clayfield/testbed/mutations.py
+++ b/packages/testbed/src/clayfield/testbed/mutations.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterator
 from unittest import mock
 
-from clayfield.dispatch import Entry
+from clayfield.dispatch import SubmissionManager
 from clayfield.state import ConfigLog, Consensus
 from clayfield.testbed.box import FakeBox, FakeDisk
 
@@ -22,7 +22,7 @@
     original: Callable[[Consensus, bool], None],
 ) -> Callable[[Consensus, bool], None]:
     """Returns a patch that starts an election without a pre-vote."""
-    return lambda consensus, pre: original(consensus, False)
+    return lambda consensus, is_prevote: original(consensus, False)
 
 
 def _keep_incarnation(original: Callable[[FakeBox], None]) -> Callable:
@@ -53,8 +53,8 @@
 ) -> Callable[[FakeDisk, int], None]:
     """Returns a patch that makes disks report a sync before it is done."""
 
-    def init(disk: FakeDisk, made: int) -> None:
-        original(disk, made)
+    def init(disk: FakeDisk, disk_id: int) -> None:
+        original(disk, disk_id)
         disk.is_lying = True
 
     return init
@@ -79,13 +79,13 @@
         ConfigLog, "_open_hall", _ignore_hall_sets(ConfigLog._open_hall)
     ),
     "retry_maybe_started": lambda: mock.patch.object(
-        Entry, "_may_retry", lambda entry, sub, task, end: True
+        SubmissionManager, "_may_retry", lambda entry, sub, task, end: True
     ),
 }
 
 
 @contextlib.contextmanager
-def mutated(name: str) -> Iterator[None]:
+def apply_mutation(name: str) -> Iterator[None]:
     """Applies a mutation for the duration of a `with` block."""
     with MUTATIONS[name]():
         yield
--- a/packages/testbed/src/clayfield/testbed/network.py
+++ b/packages/testbed/src/clayfield/testbed/network.py
@@ -31,7 +31,7 @@
 
     Attributes:
         faults: the rates of random faults.
-        injected: number of faults injected, by kind.
+        injected_counts: number of faults injected, by kind.
         sent: number of messages sent, including the lost ones.
     """
 
@@ -42,7 +42,7 @@
         delay_of: Callable[[str, str], float],
     ):
         self.faults = Faults()
-        self.injected = {"drop": 0, "double": 0, "reorder": 0, "cut": 0}
+        self.injected_counts = {"drop": 0, "double": 0, "reorder": 0, "cut": 0}
         self.sent = 0
         self._events = events
         self._rng = rng
@@ -51,7 +51,7 @@
 
     def cut(self, one_side: set[str], other_side: set[str]) -> None:
         """Stops all traffic between two sets of boxes and workers."""
-        self.injected["cut"] += 1
+        self.injected_counts["cut"] += 1
         for name in one_side:
             for other in other_side - one_side:
                 self._partitioned_links.add((name, other))
@@ -74,11 +74,11 @@
             return
         faults = self.faults
         if faults.drop and self._rng.random() < faults.drop:
-            self.injected["drop"] += 1
+            self.injected_counts["drop"] += 1
             return
         self._schedule(source, target, deliver)
         if faults.double and self._rng.random() < faults.double:
-            self.injected["double"] += 1
+            self.injected_counts["double"] += 1
             self._schedule(source, target, deliver)
 
     def _schedule(
@@ -86,6 +86,6 @@
     ) -> None:
         delay_ms = self._delay_of(source, target)
         if self.faults.jitter_ms:
-            self.injected["reorder"] += 1
+            self.injected_counts["reorder"] += 1
             delay_ms += self._rng.random() * self.faults.jitter_ms
-        self._events.after(delay_ms, deliver)
+        self._events.call_later(delay_ms, deliver)
--- a/packages/testbed/src/clayfield/testbed/poolsite.py
+++ b/packages/testbed/src/clayfield/testbed/pool_site.py
@@ -14,39 +14,39 @@
 
 from clayfield.pool import (
     Advice,
-    AnswerCaller,
-    AnswerCancel,
-    AnswerState,
-    AskAdvisor,
+    CommandReply,
+    CommandResult,
     EndKind,
-    Entry,
-    HoldAnswer,
-    HoldWorker,
-    OrderAnswer,
-    OrderResult,
-    PaceRun,
+    EntryNode,
+    PollReply,
+    PollWorker,
     PoolTiming,
+    ReplyToCaller,
+    ReplyToCancel,
+    ReplyToStateRequest,
+    RequestAdvice,
+    SendToEntry,
     StartRun,
     StopRun,
     TaskId,
-    TellEntry,
+    ThrottleRun,
 )
-from clayfield.testbed.fakeadvisor import FakeAdvisor
-from clayfield.testbed.fakeleader import FakeLeader
-from clayfield.testbed.fakeworker import (
+from clayfield.testbed.fake_advisor import FakeAdvisor
+from clayfield.testbed.fake_leader import FakeLeader
+from clayfield.testbed.fake_worker import (
     LEASE_MS,
-    PLACE_CPU,
+    SLOT_CPU,
     STOP_DELAY_MS,
+    ExecutedRun,
     FakeGang,
     FakeWorker,
-    RanTask,
 )
 from clayfield.testbed.timeline import Timeline
 from clayfield.wire.cluster import (
     Grant,
     JobEnded,
+    JobStateReply,
     NodeGreeting,
-    StateTold,
     WorkersPush,
 )
 from clayfield.wire.jobs import (
@@ -76,7 +76,7 @@
 # Long enough for the holder to take over every worker.
 SETTLE_MS = 4000.0
 DEFAULT_TASK_MS = 60.0
-USUAL_STEP = Step(1, PLACE_CPU, 64, estimate_ms=60.0)
+DEFAULT_STEP = Step(1, SLOT_CPU, 64, estimate_ms=60.0)
 
 
 class PoolSite(Timeline):
@@ -87,21 +87,21 @@
         rng: the random numbers of the simulation.
         entries: the entry nodes, by node name.
         workers: the workers, by name.
-        ran: every run that a worker executed.
-        over_room: the tasks that were started on a worker without free CPU.
-        holds: number of polls sent to workers.
+        runs: every run that a worker executed.
+        over_capacity: the tasks that were started on a worker without free CPU.
+        poll_count: number of polls sent to workers.
         gangs: the gangs, by job and step.
-        advised: keys of the jobs that need a ticket of the advisor.
+        advised_jobs: keys of the jobs that need a ticket of the advisor.
         advisor: the fake advisor.
-        filling: keys of the jobs with batch tasks.
-        ended: time and content of the reply that ended a job for its caller,
+        batch_jobs: keys of the jobs with batch tasks.
+        outcomes: time and content of the reply that ended a job for its caller,
             by job.
         leader: the fake leader of the control nodes, which has the job store.
-        states: the state last reported to the caller of a kept job, by job;
-            None for an unknown job.
+        reported_states: the state last reported to the caller of a kept job, by
+            job; None for an unknown job.
         unresolved_requests: number of state requests without an
             authoritative reply.
-        cancelled: time at which the caller got the confirmation of a cancel,
+        cancelled_ms: time at which the caller got the confirmation of a cancel,
             by job.
     """
 
@@ -110,21 +110,23 @@
     ):
         super().__init__()
         self.rng = random.Random(seed)
-        self.ran: list[RanTask] = []
-        self.over_room: list[TaskId] = []
-        self.holds = 0
+        self.runs: list[ExecutedRun] = []
+        self.over_capacity: list[TaskId] = []
+        self.poll_count = 0
         self.gangs: dict[tuple[str, int], FakeGang] = {}
-        self.advised: set[str] = set()
-        self.filling: set[str] = set()
-        self.advisor = FakeAdvisor(self.clock, self.after, self.rng)
-        self.ended: dict[str, tuple[float, JobEnded]] = {}
+        self.advised_jobs: set[str] = set()
+        self.batch_jobs: set[str] = set()
+        self.advisor = FakeAdvisor(self.clock, self.call_later, self.rng)
+        self.outcomes: dict[str, tuple[float, JobEnded]] = {}
         self.workers: dict[str, FakeWorker] = {}
-        self.entries: dict[str, Entry] = {}
-        self.leader = FakeLeader(self.clock, self.after, self._send_from_leader)
+        self.entries: dict[str, EntryNode] = {}
+        self.leader = FakeLeader(
+            self.clock, self.call_later, self._send_from_leader
+        )
         self.leader.hall = halls[-1]
-        self.states: dict[str, JobState | None] = {}
+        self.reported_states: dict[str, JobState | None] = {}
         self.unresolved_requests = 0
-        self.cancelled: dict[str, float] = {}
+        self.cancelled_ms: dict[str, float] = {}
         self._partitioned: set[str] = set()
         self._isolated: set[str] = set()
         self._keys_by_waiter: dict[int, str] = {}
@@ -140,9 +142,9 @@
         for number in range(2):
             node = f"{hall}-{number}/1"
             timing = PoolTiming(LEASE_MS, STOP_DELAY_MS)
-            self.entries[node] = Entry(node, hall, self.clock, timing)
+            self.entries[node] = EntryNode(node, hall, self.clock, timing)
             self.entries[node].on_config(_make_routing_table())
-            self.after(TICK_MS, lambda node=node: self._tick(node))
+            self.call_later(TICK_MS, lambda node=node: self._tick(node))
         for number in range(workers):
             name = f"worker-{hall}-{number}"
             info = WorkerInfo(
@@ -152,7 +154,7 @@
                 hall,
                 WorkerState.READY,
                 1,
-                2 * PLACE_CPU + 100,
+                2 * SLOT_CPU + 100,
                 1000,
                 0,
                 ("kind", f"rack-{hall}"),
@@ -164,10 +166,10 @@
         infos = tuple(worker.info for worker in self.workers.values())
         for entry in self.entries.values():
             for hall in sorted({e.hall for e in self.entries.values()}):
-                entry.on_open(_control_greeting(hall))
+                entry.on_connected(_control_greeting(hall))
             for other in self.entries.values():
                 if other is not entry:
-                    entry.on_open(_entry_greeting(other))
+                    entry.on_connected(_entry_greeting(other))
             entry.on_message("control", WorkersPush(infos))
 
     def _tick(self, node: str) -> None:
@@ -175,7 +177,7 @@
             return
         self.entries[node].tick()
         self._run_actions(node)
-        self.after(TICK_MS, lambda: self._tick(node))
+        self.call_later(TICK_MS, lambda: self._tick(node))
 
     # Actions of tests.
 
@@ -190,7 +192,7 @@
         self._grant = Grant(self._epoch, holder, standbys)
         self.leader.on_grant(self._grant)
         for node, entry in self.entries.items():
-            is_reachable = node not in self.leader.cut_off
+            is_reachable = node not in self.leader.unreachable_from
             if is_reachable and entry.hall not in self._partitioned:
                 self._deliver(node, "control", self._grant)
 
@@ -201,7 +203,7 @@
         count: int = 2,
         steps: int = 1,
         is_kept: bool = False,
-        template: Step = USUAL_STEP,
+        template: Step = DEFAULT_STEP,
         schedule: Schedule | None = None,
         is_advised: bool = False,
     ) -> None:
@@ -243,9 +245,9 @@
             is_advised,
         )
         if is_advised:
-            self.advised.add(key)
-        if template.fills:
-            self.filling.add(key)
+            self.advised_jobs.add(key)
+        if template.is_batch:
+            self.batch_jobs.add(key)
         self.entries[node].submit(job, waiter)
         self._run_actions(node)
 
@@ -255,26 +257,26 @@
         self._keys_by_waiter[self._waiter_count] = key
         return self._waiter_count
 
-    def ask(self, node: str, key: str) -> None:
-        """Requests the state of a kept job; the reply goes to `states`."""
-        self.entries[node].callers.ask_state(key, self._add_waiter(key))
+    def request_state(self, node: str, key: str) -> None:
+        """Requests a kept job's state; the reply goes to `reported_states`."""
+        self.entries[node].callers.request_state(key, self._add_waiter(key))
         self._run_actions(node)
 
     def cancel(self, node: str, key: str) -> None:
-        """Requests a job's cancel; a confirmation goes to `cancelled`."""
+        """Requests a job's cancel; a confirmation goes to `cancelled_ms`."""
         self.entries[node].callers.cancel(key, self._add_waiter(key))
         self._run_actions(node)
 
-    def cut_off(self, hall: str) -> None:
+    def partition(self, hall: str) -> None:
         """Partitions a hall from all others."""
         self._partitioned.add(hall)
         for entry in self.entries.values():
             for other in self.entries.values():
                 if self._is_partitioned(entry.hall, other.hall):
-                    entry.on_closed(other.node)
+                    entry.on_disconnected(other.node)
             for name in {e.hall for e in self.entries.values()}:
                 if self._is_partitioned(entry.hall, name):
-                    entry.on_closed(f"control-{name}/1")
+                    entry.on_disconnected(f"control-{name}/1")
 
     def heal(self, hall: str) -> None:
         """Ends the partition of a hall."""
@@ -285,23 +287,23 @@
                 if not is_local and not self._is_partitioned(
                     entry.hall, other.hall
                 ):
-                    entry.on_open(_entry_greeting(other))
+                    entry.on_connected(_entry_greeting(other))
             for name in {e.hall for e in self.entries.values()}:
                 if not self._is_partitioned(entry.hall, name):
-                    entry.on_open(_control_greeting(name))
+                    entry.on_connected(_control_greeting(name))
         for node, entry in self.entries.items():
             if entry.hall == hall:
                 self._deliver(node, "control", self._grant)
 
-    def ends(self, job: str, kind: EndKind) -> list[RanTask]:
+    def runs_ended_as(self, job: str, kind: EndKind) -> list[ExecutedRun]:
         """Returns the runs of a job that ended with the given kind."""
         return [
             run
-            for run in self.ran
+            for run in self.runs
             if run.task_id.job == job and run.kind is kind
         ]
 
-    def silence(self, worker: str) -> None:
+    def isolate(self, worker: str) -> None:
         """Makes a worker unreachable for all entry nodes."""
         self._isolated.add(worker)
 
@@ -309,9 +311,9 @@
         """Ends the process of an entry node."""
         self._dead.add(node)
         for other in self.entries.values():
-            other.on_closed(node)
+            other.on_disconnected(node)
 
-    def start_anew(self, node: str, hall: str, worker_halls: set[str]) -> None:
+    def restart(self, node: str, hall: str, worker_halls: set[str]) -> None:
         """Starts an entry node that has the workers of some halls only.
 
         Args:
@@ -320,15 +322,15 @@
             worker_halls: the halls whose workers it gets from a control node.
         """
         timing = PoolTiming(LEASE_MS, STOP_DELAY_MS)
-        entry = Entry(node, hall, self.clock, timing)
+        entry = EntryNode(node, hall, self.clock, timing)
         entry.on_config(_make_routing_table())
         for name in sorted({e.hall for e in self.entries.values()}):
             if not self._is_partitioned(hall, name):
-                entry.on_open(_control_greeting(name))
+                entry.on_connected(_control_greeting(name))
         for other in self.entries.values():
             if not self._is_partitioned(hall, other.hall):
-                entry.on_open(_entry_greeting(other))
-                other.on_open(_entry_greeting(entry))
+                entry.on_connected(_entry_greeting(other))
+                other.on_connected(_entry_greeting(entry))
         self.entries[node] = entry
         infos = tuple(
             worker.info
@@ -336,35 +338,37 @@
             if worker.info.hall in worker_halls
         )
         entry.on_message("control", WorkersPush(infos))
-        self.after(TICK_MS, lambda: self._tick(node))
+        self.call_later(TICK_MS, lambda: self._tick(node))
 
-    def started_after_done(self) -> list[tuple[RanTask, RanTask]]:
+    def find_restarts_after_end(self) -> list[tuple[ExecutedRun, ExecutedRun]]:
         """Returns pairs of an acknowledged end and a later run of the task."""
         done = [
-            run for run in self.ran if run.kind is EndKind.DONE and run.is_noted
+            run
+            for run in self.runs
+            if run.kind is EndKind.DONE and run.is_acked
         ]
         return [
             (ended, run)
             for ended in done
-            for run in self.ran
+            for run in self.runs
             if run.task_id == ended.task_id and run.start_ms > ended.end_ms
         ]
 
-    def faults(self) -> list[object]:
+    def find_violations(self) -> list[object]:
         """Returns every violation of an invariant, for all kinds of jobs.
 
         These are pairs of overlapping runs of one task, starts on a worker
         without free CPU, and runs of a gang whose other tasks never started.
         """
-        alone = [run for run in self.ran if run.kind is EndKind.ALONE]
-        return [*self.runs_together(), *self.over_room, *alone]
+        alone = [run for run in self.runs if run.kind is EndKind.ALONE]
+        return [*self.overlapping_runs(), *self.over_capacity, *alone]
 
-    def runs_together(self) -> list[tuple[RanTask, RanTask]]:
+    def overlapping_runs(self) -> list[tuple[ExecutedRun, ExecutedRun]]:
         """Returns the pairs of runs of one task that overlapped in time."""
-        by_task: dict[TaskId, list[RanTask]] = {}
-        for run in self.ran:
+        by_task: dict[TaskId, list[ExecutedRun]] = {}
+        for run in self.runs:
             by_task.setdefault(run.task_id, []).append(run)
-        pairs: list[tuple[RanTask, RanTask]] = []
+        pairs: list[tuple[ExecutedRun, ExecutedRun]] = []
         for runs in by_task.values():
             runs.sort(key=lambda run: run.start_ms)
             for first, second in zip(runs, runs[1:], strict=False):
@@ -387,54 +391,57 @@
                 self.entries[node].on_message(source, message)
                 self._run_actions(node)
 
-        self.after(DELAY_MS, arrive)
+        self.call_later(DELAY_MS, arrive)
 
     def _run_actions(self, node: str) -> None:
         entry = self.entries[node]
         for action in entry.take_actions():
             match action:
-                case TellEntry(node=to, message=message):
+                case SendToEntry(node=to, message=message):
                     self._send(entry, to, message)
                 case StartRun():
                     self._start_run(entry, action)
                 case StopRun():
                     self._stop_run(entry, action)
-                case HoldWorker():
+                case PollWorker():
                     self._poll(entry, action)
-                case PaceRun(worker=name):
+                case ThrottleRun(worker=name):
                     worker = self._find_reachable(entry, name)
                     if worker:
-                        worker.pace(action)
-                case AskAdvisor():
+                        worker.throttle(action)
+                case RequestAdvice():
                     self._request_advice(entry, action)
-                case AnswerCaller(waiter=waiter, ended=ended):
+                case ReplyToCaller(request_id=waiter, ended=ended):
                     self._record_end(waiter, ended)
-                case AnswerCancel(waiter=waiter, is_known=is_known):
+                case ReplyToCancel(request_id=waiter, is_found=is_known):
                     if is_known:
                         key = self._keys_by_waiter[waiter]
-                        self.cancelled.setdefault(key, self.clock.now_ms())
-                case AnswerState(waiter=waiter, told=reply):
+                        self.cancelled_ms.setdefault(key, self.clock.now_ms())
+                case ReplyToStateRequest(request_id=waiter, reply=reply):
                     self._record_state(self._keys_by_waiter[waiter], reply)
 
     def _record_end(self, waiter: int, ended: JobEnded) -> None:
-        self.ended[self._keys_by_waiter[waiter]] = (self.clock.now_ms(), ended)
+        self.outcomes[self._keys_by_waiter[waiter]] = (
+            self.clock.now_ms(),
+            ended,
+        )
 
-    def _record_state(self, key: str, reply: StateTold | None) -> None:
-        if reply is None or not reply.is_sure:
+    def _record_state(self, key: str, reply: JobStateReply | None) -> None:
+        if reply is None or not reply.is_authoritative:
             self.unresolved_requests += 1
         else:
-            self.states[key] = reply.state
+            self.reported_states[key] = reply.state
 
     def _send_from_leader(self, node: str, message: Message) -> None:
         entry = self.entries.get(node)
         if entry and not self._is_partitioned(entry.hall, self.leader.hall):
             self._deliver(node, self.leader.node, message)
 
-    def _send(self, entry: Entry, to: str, message: Message) -> None:
+    def _send(self, entry: EntryNode, to: str, message: Message) -> None:
         """Sends a message to the leader or to another entry node."""
         if to == self.leader.node:
             if not self._is_partitioned(entry.hall, self.leader.hall):
-                self.after(
+                self.call_later(
                     DELAY_MS,
                     lambda: self.leader.on_message(entry.node, message),
                 )
@@ -443,14 +450,16 @@
         if receiver and not self._is_partitioned(entry.hall, receiver.hall):
             self._deliver(to, entry.node, message)
 
-    def _find_reachable(self, entry: Entry, name: str) -> FakeWorker | None:
+    def _find_reachable(self, entry: EntryNode, name: str) -> FakeWorker | None:
         """Returns a worker, or None if the node cannot reach it."""
         worker = self.workers[name]
         is_unreachable = self._is_partitioned(entry.hall, worker.info.hall)
         is_unreachable = is_unreachable or name in self._isolated
         return None if is_unreachable else worker
 
-    def _deliver_reply(self, entry: Entry, handle: Callable[[], None]) -> None:
+    def _deliver_reply(
+        self, entry: EntryNode, handle: Callable[[], None]
+    ) -> None:
         """Calls the handler of a reply at an entry node after the delay."""
 
         def arrive() -> None:
@@ -458,84 +467,90 @@
                 handle()
                 self._run_actions(entry.node)
 
-        self.after(DELAY_MS, arrive)
+        self.call_later(DELAY_MS, arrive)
 
-    def _request_advice(self, entry: Entry, request: AskAdvisor) -> None:
+    def _request_advice(self, entry: EntryNode, request: RequestAdvice) -> None:
         def reply(advice: Advice) -> None:
             self._deliver_reply(
-                entry, lambda: entry.on_advice(request.call, advice)
+                entry, lambda: entry.on_advice(request.request_id, advice)
             )
 
-        self.after(DELAY_MS, lambda: self.advisor.ask(request, reply))
+        self.call_later(DELAY_MS, lambda: self.advisor.ask(request, reply))
 
-    def _start_run(self, entry: Entry, command: StartRun) -> None:
+    def _start_run(self, entry: EntryNode, command: StartRun) -> None:
         worker = self._find_reachable(entry, command.worker)
 
-        def send_reply(result: OrderResult) -> None:
-            reply = OrderAnswer(result, self.clock.now_ms())
+        def send_reply(result: CommandResult) -> None:
+            reply = CommandReply(result, self.clock.now_ms())
             self._deliver_reply(
                 entry,
-                lambda: entry.on_start_answer(
+                lambda: entry.on_start_reply(
                     command.worker, command.task_id, command.number, reply
                 ),
             )
 
         if worker is None:
-            self.after(COMMAND_TIMEOUT_MS, lambda: send_reply(OrderResult.LOST))
-        elif self.rng.random() < worker.late_share:
+            self.call_later(
+                COMMAND_TIMEOUT_MS, lambda: send_reply(CommandResult.LOST)
+            )
+        elif self.rng.random() < worker.delayed_start_share:
             late_ms = MAX_START_DELAY_MS * self.rng.random()
-            self.after(late_ms, lambda: worker.start(command))
-            self.after(COMMAND_TIMEOUT_MS, lambda: send_reply(OrderResult.LOST))
+            self.call_later(late_ms, lambda: worker.start(command))
+            self.call_later(
+                COMMAND_TIMEOUT_MS, lambda: send_reply(CommandResult.LOST)
+            )
         else:
-            self.after(DELAY_MS, lambda: send_reply(worker.start(command)))
+            self.call_later(DELAY_MS, lambda: send_reply(worker.start(command)))
 
-    def _stop_run(self, entry: Entry, command: StopRun) -> None:
+    def _stop_run(self, entry: EntryNode, command: StopRun) -> None:
         worker = self._find_reachable(entry, command.worker)
 
-        def send_reply(result: OrderResult) -> None:
-            reply = OrderAnswer(result, self.clock.now_ms())
+        def send_reply(result: CommandResult) -> None:
+            reply = CommandReply(result, self.clock.now_ms())
             self._deliver_reply(
                 entry,
-                lambda: entry.on_stop_answer(
+                lambda: entry.on_stop_reply(
                     command.worker, command.task_id, command.number, reply
                 ),
             )
 
         if worker is None:
-            self.after(COMMAND_TIMEOUT_MS, lambda: send_reply(OrderResult.LOST))
+            self.call_later(
+                COMMAND_TIMEOUT_MS, lambda: send_reply(CommandResult.LOST)
+            )
         else:
-            self.after(DELAY_MS, lambda: send_reply(worker.stop(command)))
+            self.call_later(DELAY_MS, lambda: send_reply(worker.stop(command)))
 
-    def _poll(self, entry: Entry, request: HoldWorker) -> None:
-        self.holds += 1
+    def _poll(self, entry: EntryNode, request: PollWorker) -> None:
+        self.poll_count += 1
         worker = self._find_reachable(entry, request.worker)
         sent_ms = self.clock.now_ms()
 
-        def send_reply(reply: HoldAnswer) -> None:
+        def send_reply(reply: PollReply) -> None:
             self._deliver_reply(
                 entry,
-                lambda: entry.on_hold_answer(
-                    request.worker, request.call, sent_ms, reply
+                lambda: entry.on_poll_reply(
+                    request.worker, request.poll_id, sent_ms, reply
                 ),
             )
 
-        def reply_if_reachable(reply: HoldAnswer) -> None:
+        def reply_if_reachable(reply: PollReply) -> None:
             if self._find_reachable(entry, request.worker) is None:
-                send_reply(HoldAnswer(OrderResult.LOST))
+                send_reply(PollReply(CommandResult.LOST))
             else:
                 send_reply(reply)
 
         if worker is None:
-            lost = HoldAnswer(OrderResult.LOST)
+            lost = PollReply(CommandResult.LOST)
             wait_ms = request.wait_ms + POLL_SLACK_MS
-            self.after(wait_ms, lambda: send_reply(lost))
+            self.call_later(wait_ms, lambda: send_reply(lost))
         else:
-            self.after(
-                DELAY_MS, lambda: worker.hold(request, reply_if_reachable)
+            self.call_later(
+                DELAY_MS, lambda: worker.poll(request, reply_if_reachable)
             )
 
 
-def granted_site(
+def make_granted_site(
     seed: int = 1,
     workers: int = 2,
     task_ms: float = DEFAULT_TASK_MS,
@@ -566,5 +581,5 @@
     return NodeGreeting("test", f"control-{hall}/1", "control", hall)
 
 
-def _entry_greeting(entry: Entry) -> NodeGreeting:
+def _entry_greeting(entry: EntryNode) -> NodeGreeting:
     return NodeGreeting("test", entry.node, "entry", entry.hall)
--- a/packages/testbed/src/clayfield/testbed/poolworkers.py
+++ b/packages/testbed/src/clayfield/testbed/pool_workers.py
@@ -11,31 +11,31 @@
 from twisted.internet import reactor, task
 
 from clayfield.base import MonotonicClock
-from clayfield.base.settings import address
+from clayfield.base.settings import parse_address
 from clayfield.node.httpclient import ConnectionPool
-from clayfield.node.httpserver import HttpBounds, HttpRequest, HttpServer
-from clayfield.node.own.operators import WORKERS_PREFIX
-from clayfield.node.own.workers import (
-    HOLD_PATH,
+from clayfield.node.httpserver import HttpLimits, HttpRequest, HttpServer
+from clayfield.node.native.operators import WORKERS_PREFIX
+from clayfield.node.native.workers import (
+    POLL_PATH,
     START_PATH,
     STOP_PATH,
     EndedItem,
-    HoldBody,
+    PollBody,
     RunningItem,
     StartBody,
     StopBody,
-    WorkerAnswer,
+    WorkerReply,
 )
 from clayfield.pool import (
-    HoldAnswer,
-    HoldWorker,
-    OrderResult,
+    CommandResult,
+    PollReply,
+    PollWorker,
     StartRun,
     StopRun,
 )
 from clayfield.pool.tasks import TaskId
-from clayfield.testbed.fakeadvisor import FakeAdvisor
-from clayfield.testbed.fakeworker import FakeGang, FakeWorker, RanTask
+from clayfield.testbed.fake_advisor import FakeAdvisor
+from clayfield.testbed.fake_worker import ExecutedRun, FakeGang, FakeWorker
 from clayfield.wire.jobs import WorkerInfo, WorkerState
 
 CPU = 16_000
@@ -50,26 +50,27 @@
 
     Attributes:
         clock: the monotonic clock of the machine.
-        ran: every run that a worker executed.
-        over_room: the tasks that were started on a worker without free CPU.
+        runs: every run that a worker executed.
+        over_capacity: the tasks that were started on a worker without free CPU.
         gangs: always empty: gangs are not supported here.
-        advised: always empty.
+        advised_jobs: always empty.
         advisor: never used.
-        filling: always empty.
-        rng: random numbers; they have no effect while `FakeWorker.spread` is 0.
+        batch_jobs: always empty.
+        rng: random numbers; they have no effect while
+            `FakeWorker.duration_spread` is 0.
     """
 
     def __init__(self) -> None:
         self.clock = MonotonicClock()
-        self.ran: list[RanTask] = []
-        self.over_room: list[TaskId] = []
+        self.runs: list[ExecutedRun] = []
+        self.over_capacity: list[TaskId] = []
         self.gangs: dict[tuple[str, int], FakeGang] = {}
-        self.advised: set[str] = set()
-        self.filling: set[str] = set()
+        self.advised_jobs: set[str] = set()
+        self.batch_jobs: set[str] = set()
         self.rng = random.Random(0)
-        self.advisor = FakeAdvisor(self.clock, self.after, self.rng)
+        self.advisor = FakeAdvisor(self.clock, self.call_later, self.rng)
 
-    def after(self, delay_ms: float, callback: object) -> None:
+    def call_later(self, delay_ms: float, callback: object) -> None:
         """Schedules a call after a delay."""
         reactor.callLater(max(0.0, delay_ms) / 1000.0, callback)
 
@@ -79,7 +80,7 @@
 
     def __init__(self, site: LiveSite, number: int, task_ms: float):
         self._site = site
-        self._server = HttpServer(reactor, self._on_request, HttpBounds)
+        self._server = HttpServer(reactor, self._on_request, HttpLimits)
         self._server.listen((LOOPBACK, 0))
         info = WorkerInfo(
             f"worker-{number}",
@@ -101,10 +102,10 @@
                 self._on_start(request)
             case path if path == STOP_PATH:
                 self._on_stop(request)
-            case path if path == HOLD_PATH:
+            case path if path == POLL_PATH:
                 self._on_poll(request)
             case _:
-                request.answer(404)
+                request.respond(404)
 
     def _on_start(self, request: HttpRequest) -> None:
         body = msgspec.json.decode(request.body, type=StartBody)
@@ -127,8 +128,8 @@
         self._send_response(request, self._worker.stop(command))
 
     def _on_poll(self, request: HttpRequest) -> None:
-        body = msgspec.json.decode(request.body, type=HoldBody)
-        poll = HoldWorker(
+        body = msgspec.json.decode(request.body, type=PollBody)
+        poll = PollWorker(
             body.worker,
             "",
             body.seen_upto,
@@ -138,31 +139,37 @@
             0,
         )
 
-        def send_reply(runs: HoldAnswer) -> None:
+        def send_reply(runs: PollReply) -> None:
             self._send_response(request, runs.result, runs)
 
-        self._worker.hold(poll, send_reply)
+        self._worker.poll(poll, send_reply)
 
     def _send_response(
         self,
         request: HttpRequest,
-        result: OrderResult,
-        runs: HoldAnswer | None = None,
+        result: CommandResult,
+        runs: PollReply | None = None,
     ) -> None:
         """Sends the HTTP response, with the runs if it replies to a poll."""
-        reply = WorkerAnswer(result, self._site.clock.now_ms())
+        reply = WorkerReply(result, self._site.clock.now_ms())
         if runs:
             reply.running = [
-                RunningItem(row.task_id, row.number, row.percent, row.saved)
+                RunningItem(
+                    row.task_id, row.number, row.speed_percent, row.checkpoint
+                )
                 for row in runs.running
             ]
             reply.ended = [
                 EndedItem(
-                    row.sequence, row.task_id, row.number, row.kind, row.saved
+                    row.sequence,
+                    row.task_id,
+                    row.number,
+                    row.kind,
+                    row.checkpoint,
                 )
                 for row in runs.ended
             ]
-        request.answer(200, msgspec.json.encode(reply))
+        request.respond(200, msgspec.json.encode(reply))
 
     def send_heartbeat(self, control: ConnectionPool) -> None:
         """Sends the description of this worker to a control node."""
@@ -199,7 +206,9 @@
         for number in range(arguments.workers)
     ]
     controls = [
-        control for control in arguments.control.split(",") if address(control)
+        control
+        for control in arguments.control.split(",")
+        if parse_address(control)
     ]
     pools = [ConnectionPool(reactor, control) for control in controls]
 
--- a/packages/testbed/src/clayfield/testbed/processes.py
+++ b/packages/testbed/src/clayfield/testbed/processes.py
@@ -53,7 +53,7 @@
         time.sleep(0.05)
 
 
-class StandIns:
+class StandInProcess:
     """The process that serves the stand-in workers and the worker list.
 
     Attributes:
@@ -101,8 +101,8 @@
 
     Attributes:
         name: name of the box.
-        callers: port of the interface for callers.
-        operators: port of the interface for operators.
+        callers_port: port of the interface for callers.
+        operators_port: port of the interface for operators.
         log: path of its log file.
     """
 
@@ -113,11 +113,11 @@
         folder: pathlib.Path,
         list_url: str,
         first_config: str,
-        extra: tuple[str, ...] = (),
+        extra_flags: tuple[str, ...] = (),
     ):
         self.name = name
-        self.callers = free_port()
-        self.operators = free_port()
+        self.callers_port = free_port()
+        self.operators_port = free_port()
         self.log = folder / f"{name}.log"
         self._command = [
             sys.executable,
@@ -133,7 +133,7 @@
             "300",
             "--balancer-lag-ms",
             "200",
-            *extra,
+            *extra_flags,
         ]
         for item in boxes.split(","):
             if item.startswith(f"{name}@") and item.endswith("/control"):
@@ -147,9 +147,9 @@
         command = [
             *self._command,
             "--callers",
-            f"127.0.0.1:{self.callers}",
+            f"127.0.0.1:{self.callers_port}",
             "--operators",
-            f"127.0.0.1:{self.operators}",
+            f"127.0.0.1:{self.operators_port}",
         ]
         with open(self.log, "ab") as log:
             self._process = subprocess.Popen(command, stderr=log)
@@ -163,7 +163,7 @@
     def is_ready(self) -> bool:
         """Whether the readiness check of the box succeeds."""
         try:
-            fetch(f"http://127.0.0.1:{self.operators}/readyz", 1.0)
+            fetch(f"http://127.0.0.1:{self.operators_port}/readyz", 1.0)
         except OSError:
             return False
         return True
@@ -228,12 +228,12 @@
         first_config: str,
         halls: dict[str, int],
         workers: int = 3,
-        control: int = 3,
-        extra: tuple[str, ...] = (),
-        extra_of: Callable[[str], tuple[str, ...]] = lambda name: (),
+        control_count: int = 3,
+        extra_flags: tuple[str, ...] = (),
+        extra_flags_of: Callable[[str], tuple[str, ...]] = lambda name: (),
     ):
         folder.mkdir(parents=True, exist_ok=True)
-        self.workers = StandIns(list(halls), workers)
+        self.workers = StandInProcess(list(halls), workers)
         names = [
             (f"{hall}-{chr(ord('a') + number)}", hall)
             for number in range(max(halls.values()))
@@ -242,7 +242,7 @@
         ]
         items = []
         for number, (name, hall) in enumerate(names):
-            role = "/control" if number < control else ""
+            role = "/control" if number < control_count else ""
             items.append(f"{name}@{hall}=127.0.0.1:{free_port()}{role}")
         boxes = ",".join(items)
         self.boxes = {
@@ -252,7 +252,7 @@
                 folder,
                 self.workers.list_url,
                 first_config,
-                (*extra, *extra_of(name)),
+                (*extra_flags, *extra_flags_of(name)),
             )
             for name, _ in names
         }
--- a/packages/testbed/src/clayfield/testbed/samples.py
+++ b/packages/testbed/src/clayfield/testbed/samples.py
@@ -17,7 +17,7 @@
     lines = []
     at_ms = 0.0
     for number in range(JOBS):
-        at_ms += mix.gap_ms(JOBS_PER_S)
+        at_ms += mix.draw_gap_ms(JOBS_PER_S)
         job = mix.draw()
         body = {
             "key": f"{job.kind.job}-{number}",
--- a/packages/testbed/src/clayfield/testbed/site.py
+++ b/packages/testbed/src/clayfield/testbed/site.py
@@ -19,10 +19,10 @@
     Service,
 )
 from clayfield.dispatch import JobRequest, WorkerInfo
-from clayfield.state import Timing, owned_key
+from clayfield.state import Timing, member_key
 from clayfield.testbed.box import FakeBox
 from clayfield.testbed.events import EventQueue
-from clayfield.testbed.ledger import Ledger
+from clayfield.testbed.invariants import InvariantChecker
 from clayfield.testbed.network import Network
 from clayfield.testbed.workers import FakeWorker
 from clayfield.wire.messages import Outcome
@@ -32,7 +32,7 @@
 LIST_INTERVAL_MS = 500.0
 MEMBER = "desk"
 
-DEFAULT = Configuration(
+DEFAULT_CONFIG = Configuration(
     replaces=0,
     halls={"h1": Hall()},
     classes={
@@ -51,8 +51,8 @@
 
     Attributes:
         halls: number of boxes in each hall, by name.
-        control: number of boxes with the control role and a disk, spread over
-            the halls.
+        control_count: number of boxes with the control role and a disk, spread
+            over the halls.
         workers: number of workers in each hall.
         slots: number of slots of each worker.
         racks: number of racks in each hall.
@@ -61,7 +61,7 @@
     """
 
     __slots__ = (
-        "control",
+        "control_count",
         "halls",
         "list_lag_ms",
         "racks",
@@ -73,7 +73,7 @@
     def __init__(
         self,
         halls: dict[str, int],
-        control: int = 3,
+        control_count: int = 3,
         workers: int = 3,
         slots: int = 8,
         racks: int = 1,
@@ -81,7 +81,7 @@
         sync_ms: float = 4.0,
     ):
         self.halls = halls
-        self.control = control
+        self.control_count = control_count
         self.workers = workers
         self.slots = slots
         self.racks = racks
@@ -96,7 +96,7 @@
         events: the event queue that all parts share.
         rng: the random numbers of the simulation.
         network: the network between the boxes and to the workers.
-        ledger: checks the invariants.
+        checker: checks the invariants.
         shape: the size and the delays of the site.
         boxes: the boxes, by name.
         workers: the workers, by name.
@@ -106,14 +106,14 @@
         self,
         shape: SiteShape,
         seed: int,
-        ledger: Ledger | None = None,
+        checker: InvariantChecker | None = None,
         timing: Timing | None = None,
         make_core: type[BoxCore] = BoxCore,
     ):
         self.events = EventQueue()
         self.rng = random.Random(seed)
         self.network = Network(self.events, self.rng, self._delay_ms)
-        self.ledger = ledger or Ledger()
+        self.checker = checker or InvariantChecker()
         self.shape = shape
         self._run_ms: dict[tuple[str, int], float] = {}
         self._addresses = self._make_addresses()
@@ -134,7 +134,7 @@
             self._addresses,
             self.events,
             self.network,
-            self.ledger,
+            self.checker,
             self.rng,
             self.workers,
             lambda key, task: self._run_ms[key, task],
@@ -167,7 +167,7 @@
         """Returns the settings of all boxes, with control boxes spread out."""
         addresses: dict[str, PeerAddress] = {}
         largest = max(self.shape.halls.values())
-        remaining_control = self.shape.control
+        remaining_control = self.shape.control_count
         for number in range(largest):
             for hall, count in self.shape.halls.items():
                 if number < count:
@@ -183,7 +183,7 @@
             rack = f"{hall}-r{number * shape.racks // shape.workers}"
             name = f"{hall}-w{number}"
             info = WorkerInfo(name, "", hall, rack, slots=shape.slots)
-            self.workers[name] = FakeWorker(info, self.events, self.ledger)
+            self.workers[name] = FakeWorker(info, self.events, self.checker)
 
     def _delay_ms(self, source: str, target: str) -> float:
         is_local = self.hall_of(source) == self.hall_of(target)
@@ -197,7 +197,7 @@
         """Returns the boxes of a hall."""
         return [b for n, b in self.boxes.items() if self.hall_of(n) == hall]
 
-    def places_in(self, hall: str) -> set[str]:
+    def names_in(self, hall: str) -> set[str]:
         """Returns the names of all boxes and workers of a hall."""
         names = [*self.boxes, *self.workers]
         return {name for name in names if self.hall_of(name) == hall}
@@ -213,10 +213,10 @@
         def deliver() -> None:
             self._record_leaving(listed)
             for box in self.boxes.values():
-                box.do(lambda core: core.on_workers(listed))
+                box.call(lambda core: core.on_workers(listed))
 
-        self.events.after(self.shape.list_lag_ms, deliver)
-        self.events.after(LIST_INTERVAL_MS, self._publish_list)
+        self.events.call_later(self.shape.list_lag_ms, deliver)
+        self.events.call_later(LIST_INTERVAL_MS, self._publish_list)
 
     def _record_leaving(self, listed: list[WorkerInfo]) -> None:
         """Records when the boxes first saw each worker as leaving."""
@@ -232,7 +232,7 @@
         self.events.run_until(self.events.now_ms() + duration_ms)
 
     def settle(
-        self, cfg: Configuration = DEFAULT, limit_ms: float = 15_000.0
+        self, cfg: Configuration = DEFAULT_CONFIG, limit_ms: float = 15_000.0
     ) -> None:
         """Applies a first configuration and waits until all boxes are ready.
 
@@ -240,7 +240,7 @@
             TimeoutError: a box is not ready after `limit_ms`.
         """
         self.run(self.shape.list_lag_ms + 1500.0)
-        self.apply(next(iter(self.boxes)), cfg)
+        self.apply_config(next(iter(self.boxes)), cfg)
         end_ms = self.events.now_ms() + limit_ms
         while self.events.now_ms() < end_ms:
             self.run(100.0)
@@ -249,14 +249,14 @@
                 return
         raise TimeoutError(f"not all boxes are ready after {limit_ms} ms")
 
-    def apply(self, box: str, cfg: Configuration) -> int:
+    def apply_config(self, box: str, cfg: Configuration) -> int:
         """Applies a configuration at a box.
 
         Returns:
             The number of the request, 0 if the box is down or frozen.
         """
         numbers: list[int] = []
-        self.boxes[box].do(lambda core: numbers.append(core.apply(cfg)))
+        self.boxes[box].call(lambda core: numbers.append(core.apply(cfg)))
         return numbers[0] if numbers else 0
 
     def submit(
@@ -270,7 +270,7 @@
         is_repeatable: bool = False,
         deadline_ms: float = 0.0,
         member: str = MEMBER,
-        is_first: bool = False,
+        is_first_attempt: bool = False,
     ) -> bool:
         """Submits a job.
 
@@ -284,7 +284,8 @@
             is_repeatable: whether a lost task may be started again.
             deadline_ms: deadline of the job in ms, 0 for none.
             member: name of the member (customer) who submits it.
-            is_first: whether this is the first attempt to submit the key.
+            is_first_attempt: whether this is the first attempt to submit the
+                key.
 
         Returns:
             Whether the box is up.
@@ -292,19 +293,19 @@
         target = self.boxes[box]
         if target.core is None:
             return False
-        full_key = owned_key(member, key)
+        full_key = member_key(member, key)
         tasks = [
             msgspec.json.encode([full_key, number])
             for number in range(len(run_ms))
         ]
         for number, task_ms in enumerate(run_ms):
             self._run_ms[full_key, number] = task_ms
-        self.ledger.on_submit(full_key, tasks)
+        self.checker.on_submit(full_key, tasks)
         if is_repeatable:
-            self.ledger.may_repeat.add(full_key)
+            self.checker.may_repeat.add(full_key)
 
         def answered(outcome: Outcome) -> None:
-            self.ledger.on_answer(full_key, outcome)
+            self.checker.on_answer(full_key, outcome)
             if on_answer:
                 on_answer(outcome)
 
@@ -317,9 +318,9 @@
             tasks,
             is_repeatable,
             deadline_ms,
-            is_first,
+            is_first_attempt,
         )
-        target.do(lambda core: core.submit(req, answered))
+        target.call(lambda core: core.submit(req, answered))
         return True
 
 
--- a/packages/testbed/src/clayfield/testbed/timeline.py
+++ b/packages/testbed/src/clayfield/testbed/timeline.py
@@ -18,7 +18,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Schedules a call after a delay."""
         self._count += 1
         due_ms = self.clock.now_ms() + delay_ms
--- a/packages/testbed/src/clayfield/testbed/workers.py
+++ b/packages/testbed/src/clayfield/testbed/workers.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from clayfield.dispatch import TaskEnd, WorkerInfo
+from clayfield.dispatch import TaskOutcome, WorkerInfo
 from clayfield.testbed.events import EventQueue
-from clayfield.testbed.ledger import Ledger
+from clayfield.testbed.invariants import InvariantChecker
 
-Report = Callable[[TaskEnd, bytes, float], None]
+Report = Callable[[TaskOutcome, bytes, float], None]
 
 
 class FakeWorker:
@@ -23,7 +23,9 @@
         busy_ms: slot time spent on completed tasks, in ms.
     """
 
-    def __init__(self, info: WorkerInfo, events: EventQueue, ledger: Ledger):
+    def __init__(
+        self, info: WorkerInfo, events: EventQueue, checker: InvariantChecker
+    ):
         self.info = info
         self.is_alive = True
         self.is_leaving = False
@@ -32,7 +34,7 @@
         self.slowdown = 1.0
         self.busy_ms = 0.0
         self._events = events
-        self._ledger = ledger
+        self._checker = checker
         self._running: dict[int, Report] = {}
         self._last_number = 0
 
@@ -49,23 +51,23 @@
             report: called once with the end, never if the worker is frozen.
         """
         if not self.is_alive:
-            report(TaskEnd.UNREACHED, b"", 0.0)
+            report(TaskOutcome.UNREACHED, b"", 0.0)
             return
         if self.is_leaving:
             seen_for_ms = self._events.now_ms() - self.seen_leaving_ms
-            self._ledger.on_leaving_start(self.info.name, seen_for_ms)
-            report(TaskEnd.LEAVING, b"", 0.0)
+            self._checker.on_leaving_start(self.info.name, seen_for_ms)
+            report(TaskOutcome.LEAVING, b"", 0.0)
             return
         if len(self._running) >= self.info.slots:
-            report(TaskEnd.REFUSED, b"", 0.0)
+            report(TaskOutcome.REFUSED, b"", 0.0)
             return
-        self._ledger.on_start(key, task, self.info.name)
+        self._checker.on_start(key, task, self.info.name)
         self._last_number += 1
         number = self._last_number
         self._running[number] = report
         if not self.is_frozen:
             duration_ms = run_ms * self.slowdown
-            self._events.after(
+            self._events.call_later(
                 duration_ms, lambda: self._end(number, payload, duration_ms)
             )
 
@@ -73,7 +75,7 @@
         report = self._running.pop(number, None)
         if report and not self.is_frozen:
             self.busy_ms += duration_ms
-            report(TaskEnd.ANSWERED, payload, duration_ms)
+            report(TaskOutcome.ANSWERED, payload, duration_ms)
 
     def kill(self) -> None:
         """Ends the process: running tasks are lost, connections break."""
@@ -81,7 +83,7 @@
         running = list(self._running.values())
         self._running.clear()
         for report in running:
-            report(TaskEnd.LOST, b"", 0.0)
+            report(TaskOutcome.LOST, b"", 0.0)
 
     def revive(self) -> None:
         """Restarts the process, without running tasks."""
--- a/packages/wire/src/clayfield/wire/cluster.py
+++ b/packages/wire/src/clayfield/wire/cluster.py
@@ -5,16 +5,16 @@
 
 import msgspec
 
-from clayfield.base import ClayfieldError, Kind
-from clayfield.wire.jobs import Job, JobState, Reason, Verdict, WorkerInfo
-from clayfield.wire.ledger import (
+from clayfield.base import ClayfieldError, ErrorKind
+from clayfield.wire.job_store import (
     HolderLease,
     JobsLoaded,
     JobsWritten,
     LoadJobs,
     WriteJobs,
 )
-from clayfield.wire.messages import Grouped, Message
+from clayfield.wire.jobs import Job, JobState, Reason, Verdict, WorkerInfo
+from clayfield.wire.messages import GroupMessage, Message
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
@@ -103,16 +103,16 @@
         config_version: version of its active configuration.
         epoch: epoch of the latest grant that it received.
         is_stopping: whether it stops and should not be the holder.
-        needs_epoch: whether the holder needs a grant with a higher epoch. This
-            is so when a hall is no longer partitioned and its workers still
-            have the higher fencing token of the hall's standby.
+        needs_new_epoch: whether the holder needs a grant with a higher epoch.
+            This is so when a hall is no longer partitioned and its workers
+            still have the higher fencing token of the hall's standby.
         sent_ms: time of sending, on the sender's clock.
     """
 
     config_version: int
     epoch: int
     is_stopping: bool
-    needs_epoch: bool = False
+    needs_new_epoch: bool = False
     sent_ms: float = 0.0
 
 
@@ -133,7 +133,7 @@
 
 
 class CancelJob(Message, frozen=True, tag=True):
-    """Requests that the holder cancel a job; answered by `JobCancelled`.
+    """Requests that the holder cancel a job; answered by `CancelReply`.
 
     Attributes:
         request: number of the request, echoed in the reply; 0 for no reply.
@@ -144,20 +144,20 @@
     key: str
 
 
-class JobCancelled(Message, frozen=True, tag=True):
+class CancelReply(Message, frozen=True, tag="JobCancelled"):
     """Answers `CancelJob`.
 
     Attributes:
         request: number of the request.
-        is_known: whether the job exists; None if the holder cannot decide.
+        is_found: whether the job exists; None if the holder cannot decide.
     """
 
     request: int
-    is_known: bool | None
+    is_found: bool | None
 
 
-class AskState(Message, frozen=True, tag=True):
-    """Requests the state of a kept job; answered by `StateTold`.
+class JobStateRequest(Message, frozen=True, tag="AskState"):
+    """Requests the state of a kept job; answered by `JobStateReply`.
 
     Attributes:
         request: number of the request, echoed in the reply.
@@ -168,19 +168,19 @@
     key: str
 
 
-class StateTold(Message, frozen=True, tag=True):
-    """Answers `AskState`.
+class JobStateReply(Message, frozen=True, tag="StateTold"):
+    """Answers `JobStateRequest`.
 
     Attributes:
         request: number of the request.
         state: state of the job, None if there is no such job.
-        is_sure: whether the answer is authoritative; if not, a state of None
-            does not mean that the job does not exist.
+        is_authoritative: whether the answer is authoritative; if not, a state
+            of None does not mean that the job does not exist.
     """
 
     request: int
     state: JobState | None
-    is_sure: bool
+    is_authoritative: bool
 
 
 class QueueCounts(Message, frozen=True, tag=True):
@@ -211,7 +211,7 @@
 
 
 ANY_CLUSTER_MESSAGE = (
-    Grouped
+    GroupMessage
     | ControlNodes
     | ConfigPush
     | Grant
@@ -220,10 +220,10 @@
     | EntryStatus
     | SubmitJob
     | CancelJob
-    | JobCancelled
+    | CancelReply
     | JobEnded
-    | AskState
-    | StateTold
+    | JobStateRequest
+    | JobStateReply
     | QueueCounts
     | HolderLease
     | LoadJobs
@@ -251,7 +251,7 @@
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_FRAME, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FRAME, f"{exc}.") from exc
 
 
 def encode_node_greeting(greeting: NodeGreeting) -> bytes:
@@ -268,4 +268,4 @@
     try:
         return _greeting_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_FRAME, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FRAME, f"{exc}.") from exc
--- a/packages/wire/src/clayfield/wire/codec.py
+++ b/packages/wire/src/clayfield/wire/codec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.wire import messages
 
 PROTOCOL_VERSION = 1
@@ -30,13 +30,13 @@
     """
     if len(data) > MAX_FRAME_BYTES:
         raise ClayfieldError(
-            Kind.BAD_FRAME,
+            ErrorKind.BAD_FRAME,
             f"frame of {len(data)} bytes exceeds {MAX_FRAME_BYTES} bytes.",
         )
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_FRAME, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FRAME, f"{exc}.") from exc
 
 
 class Greeting(msgspec.Struct, frozen=True, array_like=True):
@@ -76,7 +76,7 @@
     try:
         return _greeting_decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-        raise ClayfieldError(Kind.BAD_FRAME, f"{exc}.") from exc
+        raise ClayfieldError(ErrorKind.BAD_FRAME, f"{exc}.") from exc
 
 
 def check_greeting(
@@ -98,18 +98,18 @@
     """
     if greeting.cluster != cluster:
         raise ClayfieldError(
-            Kind.BAD_FRAME,
+            ErrorKind.BAD_FRAME,
             f"peer belongs to cluster {greeting.cluster!r}, not {cluster!r}.",
         )
     if greeting.halls != halls:
         raise ClayfieldError(
-            Kind.BAD_FRAME,
+            ErrorKind.BAD_FRAME,
             f"peer's --boxes names the halls {', '.join(greeting.halls)}, not"
             f" {', '.join(halls)}; use the same --boxes on both.",
         )
     if greeting.version < OLDEST_VERSION:
         raise ClayfieldError(
-            Kind.BAD_FRAME,
+            ErrorKind.BAD_FRAME,
             f"peer uses protocol version {greeting.version}, the oldest"
             f" supported is {OLDEST_VERSION}.",
         )
