--- a/packages/wire/src/clayfield/wire/ledger.py
+++ b/packages/wire/src/clayfield/wire/job_store.py
@@ -30,19 +30,21 @@
         step: number of the step.
         index: position of the task within its step.
         run: number of the run; rises with each run of the task.
-        is_done: whether the run succeeded; else it failed.
-        time: number of the iteration of the job's schedule, from 0.
+        has_succeeded: whether the run succeeded; else it failed.
+        iteration: number of the iteration of the job's schedule, from 0.
     """
 
     key: str
     step: int
     index: int
     run: int
-    is_done: bool
-    time: int = 0
+    has_succeeded: bool
+    iteration: int = 0
 
 
-class CancelAccepted(msgspec.Struct, frozen=True, array_like=True, tag=True):
+class CancelKeptJob(
+    msgspec.Struct, frozen=True, array_like=True, tag="CancelAccepted"
+):
     """Records that a kept job is cancelled; has no effect if it has ended.
 
     Attributes:
@@ -52,7 +54,7 @@
     key: str
 
 
-JobChange = AcceptJob | EndTask | CancelAccepted
+JobChange = AcceptJob | EndTask | CancelKeptJob
 
 
 class TaskFailures(msgspec.Struct, array_like=True):
--- a/packages/wire/src/clayfield/wire/jobs.py
+++ b/packages/wire/src/clayfield/wire/jobs.py
@@ -22,20 +22,20 @@
         gpu: number of accelerators of each task.
         estimate_ms: the caller's estimate of the duration of a task, in ms.
         after: numbers of the earlier steps that must have ended before.
-        requires: label that a worker must have, "" for none.
+        required_label: label that a worker must have, "" for none.
         rack: name of the rack that holds the step's data, "" for any.
         max_per_worker: most tasks of this step on one worker, 0 for no limit.
-        speculative: whether a task may have several runs at the same time.
+        is_speculative: whether a task may have several runs at the same time.
         is_checkpointing: whether the progress of its tasks can be saved.
         is_gang: whether its tasks run only together: all are started with one
             run number, and succeed or fail as one.
-        wants_one_rack: whether a gang runs faster within one rack.
-        is_lasting: whether its tasks run until the job is cancelled; they are
-            restarted whenever they end.
+        prefers_one_rack: whether a gang runs faster within one rack.
+        is_long_running: whether its tasks run until the job is cancelled; they
+            are restarted whenever they end.
         target_ms: bound for the tail latency of the requests that each
             long-running task serves, in ms; 0 if it serves none.
-        fills: whether it is a batch step, which reserves no CPU and uses what
-            other steps leave free.
+        is_batch: whether it is a batch step, which reserves no CPU and uses
+            what other steps leave free.
     """
 
     count: int
@@ -44,24 +44,24 @@
     gpu: int = 0
     estimate_ms: float = 0.0
     after: tuple[int, ...] = ()
-    requires: str = ""
+    required_label: str = ""
     rack: str = ""
     max_per_worker: int = 0
-    speculative: bool = False
+    is_speculative: bool = False
     is_checkpointing: bool = False
     is_gang: bool = False
-    wants_one_rack: bool = False
-    is_lasting: bool = False
+    prefers_one_rack: bool = False
+    is_long_running: bool = False
     target_ms: float = 0.0
-    fills: bool = False
+    is_batch: bool = False
 
     @property
-    def room_cpu(self) -> int:
+    def reserved_cpu(self) -> int:
         """CPU that is reserved for a task, in thousandths of a core."""
-        return 0 if self.fills else self.cpu
+        return 0 if self.is_batch else self.cpu
 
 
-def find_step_fault(steps: tuple[Step, ...]) -> str:
+def find_step_error(steps: tuple[Step, ...]) -> str:
     """Returns the first error in the steps of a job, "" if there is none."""
     if not steps:
         return "steps is empty; name at least one step."
@@ -87,13 +87,13 @@
     start_ms: float
     interval_ms: float
 
-    def due_ms(self, time: int) -> float:
+    def due_ms(self, iteration: int) -> float:
         """Returns the time at which an iteration is due, in ms since 1970.
 
         Args:
-            time: number of the iteration, from 0.
+            iteration: number of the iteration, from 0.
         """
-        return self.start_ms + time * self.interval_ms
+        return self.start_ms + iteration * self.interval_ms
 
 
 class Job(msgspec.Struct, frozen=True, array_like=True):
@@ -135,23 +135,23 @@
     is_advised: bool = False
 
     @property
-    def times(self) -> int:
+    def iteration_count(self) -> int:
         """Number of iterations."""
         return self.schedule.repeats if self.schedule else 1
 
     @property
     def task_count(self) -> int:
         """Number of tasks, over all steps and iterations."""
-        return self.times * sum(step.count for step in self.steps)
+        return self.iteration_count * sum(step.count for step in self.steps)
 
-    def stage_of(self, step: int, time: int) -> int:
+    def stage_of(self, step: int, iteration: int) -> int:
         """Returns the number of a step among the steps of all iterations.
 
         Args:
             step: number of the step within the job.
-            time: number of the iteration, from 0.
+            iteration: number of the iteration, from 0.
         """
-        return time * len(self.steps) + step
+        return iteration * len(self.steps) + step
 
 
 class Verdict(enum.IntEnum):
@@ -215,7 +215,7 @@
         cpu: CPU capacity, in thousandths of a core.
         memory_mb: memory capacity, in MB.
         gpu: number of accelerators.
-        labels: its kind and its rack, matched by `Step.requires`.
+        labels: its kind and its rack, matched by `Step.required_label`.
         rack: name of its rack, "" if not announced.
     """
 
--- a/packages/wire/src/clayfield/wire/messages.py
+++ b/packages/wire/src/clayfield/wire/messages.py
@@ -60,14 +60,14 @@
         term: the candidate's term; in a pre-vote the term it would start.
         last_index: index of the candidate's last log entry.
         last_term: term of that entry.
-        pre: whether this is a pre-vote, which changes no state.
+        is_prevote: whether this is a pre-vote, which changes no state.
     """
 
     group: str
     term: int
     last_index: int
     last_term: int
-    pre: bool
+    is_prevote: bool
 
 
 class VoteReply(Message, frozen=True, tag=True):
@@ -77,13 +77,13 @@
         group: the group instance.
         term: term of the request if the vote is granted, else the voter's.
         granted: whether the vote is granted.
-        pre: whether it is a pre-vote.
+        is_prevote: whether it is a pre-vote.
     """
 
     group: str
     term: int
     granted: bool
-    pre: bool
+    is_prevote: bool
 
 
 class AppendRequest(Message, frozen=True, tag=True):
@@ -95,7 +95,7 @@
         prev_index: index of the entry before `entries`.
         prev_term: term of that entry.
         entries: the entries to append; may be empty.
-        commit: index of the last committed entry.
+        commit_index: index of the last committed entry.
         sent_ms: time of sending on the leader's clock, echoed in the reply.
     """
 
@@ -104,7 +104,7 @@
     prev_index: int
     prev_term: int
     entries: list[LogEntry]
-    commit: int
+    commit_index: int
     sent_ms: float
 
 
@@ -114,16 +114,16 @@
     Attributes:
         group: the group instance.
         term: the follower's term.
-        ok: whether the follower's log contained the previous entry.
-        match: index up to which the logs match; if not `ok`, the index at
-            which the leader should retry, or 0.
+        is_matching: whether the follower's log contained the previous entry.
+        match_index: index up to which the logs match; if not `is_matching`, the
+            index at which the leader should retry, or 0.
         sent_ms: `sent_ms` of the request; 0 if the request's term was old.
     """
 
     group: str
     term: int
-    ok: bool
-    match: int
+    is_matching: bool
+    match_index: int
     sent_ms: float
 
 
@@ -138,7 +138,7 @@
         members: members of the group at that entry.
         offset: position of `data` in the snapshot, in bytes.
         data: the part.
-        done: whether it is the last part.
+        is_last: whether it is the last part.
         sent_ms: time of sending on the leader's clock, echoed in the reply.
     """
 
@@ -149,7 +149,7 @@
     members: Members
     offset: int
     data: bytes
-    done: bool
+    is_last: bool
     sent_ms: float
 
 
@@ -183,7 +183,7 @@
     term: int
 
 
-class Grouped(Message, frozen=True, tag=True):
+class GroupMessage(Message, frozen=True, tag="Grouped"):
     """A consensus message between two nodes.
 
     Attributes:
@@ -214,19 +214,20 @@
     Attributes:
         hall: name of the sender's hall.
         config_version: version of the sender's active configuration.
-        fresh: groups for which the sender holds no state that can still count:
-            none of an opened group, or only of one whose majority is lost.
-        leads: by group that the sender leads under a valid lease, its term.
-        joins: the sender's nodes in its groups, as GROUP@NODE.
-        stopping: whether the sender refuses new work.
+        unformed_groups: groups for which the sender holds no state that can
+            still count: none of an opened group, or only of one whose majority
+                is lost.
+        led_terms: by group that the sender leads under a valid lease, its term.
+        group_members: the sender's nodes in its groups, as GROUP@NODE.
+        is_stopping: whether the sender refuses new work.
     """
 
     hall: str
     config_version: int
-    fresh: tuple[str, ...] = ()
-    leads: dict[str, int] = {}
-    joins: tuple[str, ...] = ()
-    stopping: bool = False
+    unformed_groups: tuple[str, ...] = ()
+    led_terms: dict[str, int] = {}
+    group_members: tuple[str, ...] = ()
+    is_stopping: bool = False
 
 
 # Configuration messages.
@@ -327,7 +328,7 @@
 CLAIM_DONE = 3  # its outcome is in the reply
 CLAIM_UNKNOWN = 4  # no claim of it is recorded
 CLAIM_UNAVAILABLE = 5  # the table of claims is not open
-CLAIM_SETTLED = 6  # a `Complete` or `Unclaim` is applied
+CLAIM_CLOSED = 6  # a `Complete` or `Unclaim` is applied
 CLAIM_LOST = 7  # it may have been claimed in a table that is lost
 
 
@@ -562,7 +563,7 @@
 
 
 ANY_MESSAGE = (
-    Grouped
+    GroupMessage
     | Heartbeat
     | ConfigPull
     | ConfigPush
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -4,7 +4,7 @@
 
 from clayfield.cluster import WriteOutcome
 from clayfield.state.membership import box_of
-from clayfield.testbed.controlsite import ControlSite
+from clayfield.testbed.control_site import ControlSite
 from clayfield.wire.cluster import EntryStatus
 from clayfield.wire.jobs import WorkerInfo, WorkerState
 
@@ -15,16 +15,16 @@
 def _site(seed=1, entries=()):
     site = ControlSite(3, seed)
     for entry in entries:
-        site.add_entry(entry, ENTRIES[entry])
+        site.add_entry_node(entry, ENTRIES[entry])
     site.run(SETTLE_MS)
     assert site.leader()
     return site
 
 
 def _write(site, request, version):
-    assert site.write(request, version)
+    assert site.write_config(request, version)
     site.run(300)
-    return site.settled.get(request)
+    return site.write_outcomes.get(request)
 
 
 def test_highest_version_is_active_and_lower_writes_are_acknowledged():
@@ -40,18 +40,18 @@
 def test_acknowledged_write_survives_loss_of_one_disk_at_a_time(seed):
     site = _site(seed)
     _write(site, 1, 7)
-    address = site.first[seed % 3]
+    address = site.initial_addresses[seed % 3]
     site.kill(address)
-    site.wipe(address)
+    site.lose_disk(address)
     site.run(100 * seed)
     site.start(address)
     site.run(SETTLE_MS)
     assert site.leader().state.version == 7
     assert len(site.leader().consensus.members.voters) == 3
     assert _write(site, 2, 8) is WriteOutcome.IN_FORCE
-    second = site.first[(seed + 1) % 3]
+    second = site.initial_addresses[(seed + 1) % 3]
     site.kill(second)
-    site.wipe(second)
+    site.lose_disk(second)
     site.start(second)
     site.run(SETTLE_MS)
     assert site.leader().state.version == 8
@@ -61,10 +61,10 @@
 def test_acknowledged_write_survives_restart_of_all_nodes(seed):
     site = _site(seed)
     _write(site, 1, 4)
-    for address in site.first:
+    for address in site.initial_addresses:
         site.kill(address)
     site.run(1000)
-    for address in site.first:
+    for address in site.initial_addresses:
         site.start(address)
     site.run(SETTLE_MS)
     assert site.leader().state.version == 4
@@ -74,13 +74,13 @@
 def test_log_is_restored_when_its_snapshot_covers_all_entries(writes):
     site = _site()
     for version in range(1, writes):
-        assert site.write(version, version)
+        assert site.write_config(version, version)
         site.run(40)
     site.run(500)
-    for address in site.first:
+    for address in site.initial_addresses:
         site.kill(address)
     site.run(1000)
-    for address in site.first:
+    for address in site.initial_addresses:
         site.start(address)
     site.run(SETTLE_MS)
     assert site.leader().state.version == writes - 1
@@ -90,10 +90,10 @@
 def test_partitioned_leader_rejects_writes_and_catches_up_later(seed):
     site = _site(seed)
     old = site.leader()
-    site.cut_off(box_of(old.node))
+    site.partition(box_of(old.node))
     site.run(SETTLE_MS)
-    assert not old.is_sure
-    assert not old.write(9, 9, b"document-9")
+    assert not old.is_state_current
+    assert not old.write_config(9, 9, b"document-9")
     assert site.leader() is not old
     assert _write(site, 1, 3) is WriteOutcome.IN_FORCE
     site.heal(box_of(old.node))
@@ -104,20 +104,20 @@
 def test_replacement_node_becomes_voter_in_place_of_lost_node():
     site = _site()
     _write(site, 1, 2)
-    lost = site.first[0]
+    lost = site.initial_addresses[0]
     site.kill(lost)
     site.start("10.0.9.1:7000")
     site.run(4000)
     voters = {box_of(v) for v in site.leader().consensus.members.voters}
-    assert voters == {*site.first[1:], "10.0.9.1:7000"}
-    site.kill(site.first[1])
+    assert voters == {*site.initial_addresses[1:], "10.0.9.1:7000"}
+    site.kill(site.initial_addresses[1])
     site.run(SETTLE_MS)
     assert site.leader().state.version == 2
 
 
 def test_unreachable_voter_is_kept_without_a_replacement():
     site = _site()
-    site.kill(site.first[2])
+    site.kill(site.initial_addresses[2])
     site.run(20_000)
     assert len(site.leader().consensus.members.voters) == 3
 
@@ -125,13 +125,13 @@
 def test_snapshots_limit_log_length_and_restore_an_empty_node():
     site = _site()
     for version in range(1, 400):
-        assert site.write(version, version)
+        assert site.write_config(version, version)
         site.run(5)
     site.run(300)
     assert all(len(n.consensus._log) <= 64 for n in site.nodes.values())
-    empty = site.first[0]
+    empty = site.initial_addresses[0]
     site.kill(empty)
-    site.wipe(empty)
+    site.lose_disk(empty)
     site.start(empty)
     site.run(SETTLE_MS)
     assert site.nodes[empty].state.version == 399
@@ -151,7 +151,7 @@
     site = _site(seed, tuple(ENTRIES))
     site.run(3000)
     holder = site.grants[1].holder
-    site.remove_entry(holder)
+    site.remove_entry_node(holder)
     site.run(500)
     assert max(site.grants) == 2
     assert site.grants[2].holder != holder
@@ -159,15 +159,15 @@
 
 def test_holder_is_granted_after_election_when_all_nodes_restart():
     site = _site(entries=tuple(ENTRIES))
-    for address in site.first:
+    for address in site.initial_addresses:
         site.kill(address)
     for entry in ENTRIES:
-        site.remove_entry(entry)
+        site.remove_entry_node(entry)
     site.run(1000)
-    for address in site.first:
+    for address in site.initial_addresses:
         site.start(address)
     for entry, hall in ENTRIES.items():
-        site.add_entry(entry.replace("/1", "/2"), hall)
+        site.add_entry_node(entry.replace("/1", "/2"), hall)
     while not site.leader():
         site.run(10)
     site.run(100)
@@ -177,14 +177,14 @@
 def test_stopping_holder_is_replaced():
     site = _site(entries=tuple(ENTRIES))
     holder = site.grants[1].holder
-    site.tell_status(holder, EntryStatus(0, 1, True))
+    site.send_status(holder, EntryStatus(0, 1, True))
     site.run(200)
     assert site.grants[2].holder != holder
 
 
 def test_requested_epoch_is_granted_to_the_same_holder():
     site = _site(entries=tuple(ENTRIES))
-    site.tell_status("e4/1", EntryStatus(0, 1, False, True))
+    site.send_status("e4/1", EntryStatus(0, 1, False, True))
     site.run(200)
     assert list(site.grants) == [1, 2]
     assert site.grants[2].holder == site.grants[1].holder
@@ -202,11 +202,11 @@
     site = _site(entries=("e1/1",))
     node = site.leader()
     draining = _info(WorkerState.DRAINING, 5)
-    node.on_worker(draining)
-    node.on_worker(_info(WorkerState.READY, 4))
+    node.on_worker_heartbeat(draining)
+    node.on_worker_heartbeat(_info(WorkerState.READY, 4))
     assert node.workers.all() == (draining,)
-    node.on_worker_left("w1")
-    node.on_worker(_info(WorkerState.READY, 6))
+    node.on_worker_removed("w1")
+    node.on_worker_heartbeat(_info(WorkerState.READY, 6))
     assert node.workers.all() == ()
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,17 +9,17 @@
 
 from clayfield.config import (
     EMPTY,
-    BadConfigError,
     Configuration,
     Hall,
+    InvalidConfigError,
     Member,
     PriorityClass,
     Service,
+    decode_config,
     diff,
-    from_bytes,
+    encode_config,
     parse,
     patch,
-    to_bytes,
 )
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
@@ -38,7 +38,7 @@
 def test_example_files_are_valid(name):
     cfg = parse((EXAMPLES / name).read_text())
     assert cfg.version == 1
-    assert from_bytes(to_bytes(cfg)) == cfg
+    assert decode_config(encode_config(cfg)) == cfg
 
 
 @pytest.mark.parametrize(
@@ -83,20 +83,20 @@
 ):
     text = VALID.replace(before, after)
     assert text != VALID
-    with pytest.raises(BadConfigError) as info:
+    with pytest.raises(InvalidConfigError) as info:
         parse(text)
     reported = [
-        (f.line, f.path) for f in info.value.faults if problem in f.problem
+        (f.line, f.path) for f in info.value.diagnostics if problem in f.problem
     ]
     assert (line, path) in reported or (path == "" and reported[0][0] >= line)
-    assert all(fault.remedy for fault in info.value.faults)
+    assert all(one.remedy for one in info.value.diagnostics)
 
 
 def test_all_errors_are_reported_together():
     text = VALID.replace("price: 5", "price: x").replace("90", "0")
-    with pytest.raises(BadConfigError) as info:
+    with pytest.raises(InvalidConfigError) as info:
         parse(text)
-    assert [fault.line for fault in info.value.faults] == [4, 5]
+    assert [one.line for one in info.value.diagnostics] == [4, 5]
 
 
 NAMES = st.sampled_from(["a", "b", "c", "d"])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -5,7 +5,7 @@
 from clayfield.testbed import ViolationError
 from clayfield.testbed.chaos import Chaos
 from clayfield.testbed.drills import DRILLS
-from clayfield.testbed.mutations import mutated
+from clayfield.testbed.mutations import apply_mutation
 
 # Seeds and numbers of steps, among them every seed that once failed.
 SCHEDULES = [
@@ -33,7 +33,7 @@
 def test_random_schedule_violates_no_invariant(seed, steps):
     chaos = Chaos(seed)
     chaos.run(steps)
-    assert not chaos.ledger.violations
+    assert not chaos.checker.violation_counts
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
 )
 def test_drill_detects_mutation(mutation, drill, error_text):
     with (
-        mutated(mutation),
+        apply_mutation(mutation),
         pytest.raises((ViolationError, AssertionError), match=error_text),
     ):
         DRILLS[drill](1)
--- a/tests/test_interfaces.py
+++ b/tests/test_interfaces.py
@@ -16,16 +16,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from clayfield.base import ClayfieldError, Kind, Problem, Ran
+from clayfield.base import ClayfieldError, ErrorKind, Problem, Ran
 from clayfield.base.events import Event, emit
-from clayfield.base.settings import (
-    COMMAND_LINE_NAMES,
-    add_flags,
-    read_settings,
-)
+from clayfield.base.settings import COMMAND_LINE_NAMES, add_flags, read_settings
 from clayfield.cli.settings import SETTINGS as COMMAND_LINE
 from clayfield.daemon.settings import SETTINGS, DaemonSettings
-from clayfield.dispatch import read_problem, render_problem
+from clayfield.dispatch import parse_problem, render_problem
 from clayfield.node.main import SETTINGS as NODE_SETTINGS
 from clayfield.testbed.processes import Cluster
 from clayfield.wire import (
@@ -73,7 +69,7 @@
 def test_decode_rejects_an_invalid_frame(data):
     with pytest.raises(ClayfieldError) as info:
         decode(data)
-    assert info.value.kind is Kind.BAD_FRAME
+    assert info.value.kind is ErrorKind.BAD_FRAME
 
 
 @given(st.binary(max_size=200))
@@ -109,10 +105,10 @@
         check_greeting(decoded, "c", ("h",))
 
 
-@pytest.mark.parametrize("kind", Kind)
+@pytest.mark.parametrize("kind", ErrorKind)
 def test_every_error_kind_is_rendered_parsed_and_documented(kind):
     outcome = render_problem(Problem(kind, "why", Ran.MAYBE, 1500))
-    problem = read_problem(outcome.body)
+    problem = parse_problem(outcome.body)
     assert (problem.code, problem.ran) == (kind.code, "maybe")
     assert kind.remedy in str(ClayfieldError(kind, "why"))
     assert f"| {kind.code} | {kind.status} |" in _page("docs/api.md")
@@ -238,7 +234,7 @@
         config,
         {"h": 3},
         1,
-        extra_of=options(lambda name: name),
+        extra_flags_of=options(lambda name: name),
     ) as cluster:
         assert all(box.is_ready for box in cluster.boxes.values())
     mismatched = Cluster(
@@ -246,7 +242,7 @@
         config,
         {"h": 3},
         1,
-        extra_of=options(lambda name: "h-b" if name == "h-a" else name),
+        extra_flags_of=options(lambda name: "h-b" if name == "h-a" else name),
     )
     try:
         log = mismatched.boxes["h-c"].log
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -10,17 +10,17 @@
 import pytest
 
 from clayfield.base import ManualClock
-from clayfield.cluster.jobbook import JobBook
-from clayfield.pool import EndKind, OrderResult
-from clayfield.testbed.poolsite import (
+from clayfield.cluster.job_store import JobStore
+from clayfield.pool import CommandResult, EndKind
+from clayfield.testbed.pool_site import (
+    DEFAULT_STEP,
     HALLS,
     HOLDER,
     STANDBYS,
-    USUAL_STEP,
-    granted_site,
+    make_granted_site,
 )
+from clayfield.wire.job_store import AcceptJob, CancelKeptJob, EndTask
 from clayfield.wire.jobs import Job, JobState, Reason, Step, Verdict
-from clayfield.wire.ledger import AcceptJob, CancelAccepted, EndTask
 
 SETTLE_MS = 8000
 # Within this time a new holder finds and stops the runs of a cancelled job.
@@ -29,12 +29,12 @@
 
 def _step(estimate_ms, **fields):
     return msgspec.structs.replace(
-        USUAL_STEP, estimate_ms=estimate_ms, **fields
+        DEFAULT_STEP, estimate_ms=estimate_ms, **fields
     )
 
 
 def _verdicts(site):
-    return {key: ended.verdict for key, (_, ended) in site.ended.items()}
+    return {key: ended.verdict for key, (_, ended) in site.outcomes.items()}
 
 
 def _accepted(site):
@@ -46,98 +46,98 @@
 
 def _request_states(site, keys, node):
     for key in sorted(keys):
-        site.ask(node, key)
+        site.request_state(node, key)
     site.run(300)
-    return {key: site.states.get(key) for key in keys}
+    return {key: site.reported_states.get(key) for key in keys}
 
 
 def _assert_no_violations(site):
-    assert site.faults() == []
-    assert site.started_after_done() == []
+    assert site.find_violations() == []
+    assert site.find_restarts_after_end() == []
 
 
 def _vary_durations(site):
     """Varies task durations; workers also accept tasks beyond capacity."""
     for worker in site.workers.values():
-        worker.spread = 0.8
-        worker.is_guarding = False
+        worker.duration_spread = 0.8
+        worker.enforces_capacity = False
 
 
 @pytest.mark.parametrize("node", ["a-0/1", "a-1/1", "c-1/1"])
 def test_kept_job_is_accepted_immediately_and_reports_its_end(node):
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 150
     site.submit(node, "job", count=3, steps=2, is_kept=True)
     site.run(25)
     assert _verdicts(site) == {"job": Verdict.ACCEPTED}
-    site.ask(node, "job")
+    site.request_state(node, "job")
     site.run(130)
-    assert site.states == {"job": JobState.RUNNING}
+    assert site.reported_states == {"job": JobState.RUNNING}
     site.run(250)
     assert _request_states(site, {"job", "none"}, "b-1/1") == {
         "job": JobState.COMPLETED,
         "none": None,
     }
-    assert "none" in site.states
-    assert len(site.ran) == 6
+    assert "none" in site.reported_states
+    assert len(site.runs) == 6
 
 
 def test_state_reply_for_a_running_job_is_delayed_until_its_end():
-    site = granted_site()
+    site = make_granted_site()
     site.submit("a-1/1", "job", is_kept=True)
     site.run(45)
-    site.ask("a-1/1", "job")
+    site.request_state("a-1/1", "job")
     site.run(5)
-    assert site.states == {}
+    assert site.reported_states == {}
     site.run(65)
-    assert site.states == {"job": JobState.COMPLETED}
+    assert site.reported_states == {"job": JobState.COMPLETED}
 
 
 def test_no_task_starts_before_the_job_is_stored():
-    site = granted_site()
-    site.leader.is_silent = True
+    site = make_granted_site()
+    site.leader.is_unresponsive = True
     site.submit("a-1/1", "job", is_kept=True)
     site.run(1000)
-    assert site.ended == {}
-    assert site.ran == []
-    site.leader.is_silent = False
+    assert site.outcomes == {}
+    assert site.runs == []
+    site.leader.is_unresponsive = False
     site.run(1000)
     assert _verdicts(site) == {"job": Verdict.ACCEPTED}
-    assert len(site.ran) == 2
+    assert len(site.runs) == 2
 
 
 def test_holder_without_authority_refuses_new_jobs():
-    site = granted_site()
-    site.leader.is_silent = True
+    site = make_granted_site()
+    site.leader.is_unresponsive = True
     site.run(2000)
     site.submit("a-1/1", "job", is_kept=True)
     site.run(10)
-    ended = site.ended["job"][1]
+    ended = site.outcomes["job"][1]
     assert (ended.verdict, ended.reason) == (Verdict.REFUSED, Reason.NOT_STORED)
     assert ended.retry_after_ms > 0
-    site.leader.is_silent = False
+    site.leader.is_unresponsive = False
     site.run(3000)
-    assert site.ran == []
+    assert site.runs == []
 
 
 def test_unsent_job_is_refused_when_authority_is_lost():
-    site = granted_site()
-    site.leader.is_silent = True
+    site = make_granted_site()
+    site.leader.is_unresponsive = True
     site.submit("a-1/1", "sent", is_kept=True)
     site.run(20)
     site.submit("a-1/1", "unsent", is_kept=True)
     site.run(1600)
     assert _verdicts(site) == {"unsent": Verdict.REFUSED}
-    site.leader.is_silent = False
+    site.leader.is_unresponsive = False
     site.run(2000)
     assert _verdicts(site)["sent"] is Verdict.ACCEPTED
-    assert {ran.task_id.job for ran in site.ran} == {"sent"}
+    assert {run.task_id.job for run in site.runs} == {"sent"}
 
 
 def test_new_holder_without_loaded_jobs_refuses_only_new_jobs():
-    site = granted_site()
-    site.leader.is_silent = True
+    site = make_granted_site()
+    site.leader.is_unresponsive = True
     site.submit("c-1/1", "handed", is_kept=True)
     site.kill(HOLDER)
     site.run(150)
@@ -146,15 +146,15 @@
     site.submit("c-1/1", "new", is_kept=True)
     site.run(10)
     assert _verdicts(site) == {"new": Verdict.REFUSED}
-    site.leader.is_silent = False
+    site.leader.is_unresponsive = False
     site.run(1000)
     assert _verdicts(site)["handed"] is Verdict.ACCEPTED
-    assert {ran.task_id.job for ran in site.ran} == {"handed"}
+    assert {run.task_id.job for run in site.runs} == {"handed"}
 
 
 def test_refusal_by_a_former_holder_is_ignored():
-    site = granted_site()
-    site.leader.cut_off.add(HOLDER)
+    site = make_granted_site()
+    site.leader.unreachable_from.add(HOLDER)
     site.submit("c-1/1", "sent", is_kept=True)
     site.run(1250)
     site.submit("b-1/1", "unsent", is_kept=True)
@@ -170,18 +170,18 @@
 
 
 def test_holder_without_authority_stops_its_runs():
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 10_000
     site.submit("a-1/1", "job", is_kept=True, template=_step(10_000))
     site.run(100)
-    assert [ran.end_ms for ran in site.ran] == [None, None]
-    site.leader.is_silent = True
+    assert [run.end_ms for run in site.runs] == [None, None]
+    site.leader.is_unresponsive = True
     site.run(1800)
-    assert all(ran.kind is EndKind.STOPPED for ran in site.ran)
-    site.leader.is_silent = False
+    assert all(run.kind is EndKind.STOPPED for run in site.runs)
+    site.leader.is_unresponsive = False
     site.run(1000)
-    assert [ran.kind for ran in site.ran[2:]] == [None, None]
+    assert [run.kind for run in site.runs[2:]] == [None, None]
     _assert_no_violations(site)
 
 
@@ -189,32 +189,32 @@
 def test_stopped_task_resumes_from_its_checkpoint_if_it_has_one(
     is_checkpointing,
 ):
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 4000
     template = _step(4000, is_checkpointing=is_checkpointing)
     site.submit("a-1/1", "job", is_kept=True, template=template)
     site.run(100)
-    site.leader.is_silent = True
+    site.leader.is_unresponsive = True
     site.run(1800)
-    site.leader.is_silent = False
+    site.leader.is_unresponsive = False
     site.run(6000)
     _assert_no_violations(site)
     assert _request_states(site, {"job"}, "c-1/1") == {
         "job": JobState.COMPLETED
     }
-    resumed = [ran for ran in site.ran if ran.number > 1]
+    resumed = [run for run in site.runs if run.number > 1]
     assert len(resumed) == 2
     durations_ms = {
-        round(ran.end_ms - ran.start_ms + ran.from_ms) for ran in resumed
+        round(run.end_ms - run.start_ms + run.resumed_ms) for run in resumed
     }
     assert durations_ms == {4000}
-    assert all((ran.from_ms > 1000) == is_checkpointing for ran in resumed)
+    assert all((run.resumed_ms > 1000) == is_checkpointing for run in resumed)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_new_holder_resumes_from_checkpoints_reported_by_workers(seed):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     for worker in site.workers.values():
         worker.task_ms = 1500
     template = _step(1500, is_checkpointing=True)
@@ -227,29 +227,29 @@
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
     site.run(100)
-    site.silence("worker-a-0")
+    site.isolate("worker-a-0")
     site.run(SETTLE_MS)
     _assert_no_violations(site)
-    assert any(ran.from_ms for ran in site.ran)
+    assert any(run.resumed_ms for run in site.runs)
     states = _request_states(site, _accepted(site), "c-1/1")
     assert set(states.values()) == {JobState.COMPLETED}
 
 
 def test_job_submitted_again_runs_once():
-    site = granted_site()
+    site = make_granted_site()
     site.submit("a-1/1", "job", is_kept=True)
     site.submit("b-1/1", "job", is_kept=True)
     site.run(400)
     site.submit("c-1/1", "job", is_kept=True)
     site.run(400)
     assert _verdicts(site) == {"job": Verdict.ACCEPTED}
-    assert len(site.ran) == 2
+    assert len(site.runs) == 2
 
 
 def test_kept_job_completes_after_its_caller_disconnects():
-    site = granted_site()
+    site = make_granted_site()
     site.submit("a-1/1", "job", is_kept=True)
-    site.entries["a-1/1"].callers.leave("job", 1)
+    site.entries["a-1/1"].callers.on_caller_disconnected("job", 1)
     site.run(400)
     assert _request_states(site, {"job"}, "b-1/1") == {
         "job": JobState.COMPLETED
@@ -265,7 +265,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_accepted_jobs_complete_after_the_holder_is_killed(seed):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     _vary_durations(site)
     _submit_many(site, 10, 30)
     site.run(seed)
@@ -283,13 +283,13 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_task_runs_twice_when_the_holder_is_partitioned(seed):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     _vary_durations(site)
     for worker in site.workers.values():
         worker.task_ms = 400 + 100 * (seed % 5)
     _submit_many(site, 8, 40)
     site.run(seed)
-    site.cut_off("a")
+    site.partition("a")
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
     _submit_many(site, 6, 100)
@@ -304,14 +304,14 @@
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("hall", ["b", "c"])
 def test_no_task_runs_twice_when_a_partitioned_hall_rejoins(hall, seed):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     site.leader.hall = "a"
     _vary_durations(site)
     for worker in site.workers.values():
         worker.task_ms = 300 + 150 * (seed % 4)
     _submit_many(site, 8, 40)
     site.run(seed)
-    site.cut_off(hall)
+    site.partition(hall)
     _submit_many(site, 6, 100)
     site.run(1000 + 250 * seed)
     site.heal(hall)
@@ -325,13 +325,13 @@
 
 
 def test_tasks_of_an_unreachable_worker_run_elsewhere():
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 600
     site.submit("a-1/1", "job", count=12, is_kept=True, template=_step(600))
     site.run(100)
-    assert {ran.worker for ran in site.ran} == set(site.workers)
-    site.silence("worker-b-0")
+    assert {run.worker for run in site.runs} == set(site.workers)
+    site.isolate("worker-b-0")
     site.run(3500)
     _assert_no_violations(site)
     assert _request_states(site, {"job"}, "c-1/1") == {
@@ -341,10 +341,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_task_runs_twice_after_delayed_starts_and_a_killed_holder(seed):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     _vary_durations(site)
     for worker in site.workers.values():
-        worker.late_share = 0.2
+        worker.delayed_start_share = 0.2
     _submit_many(site, 8, 60)
     site.kill(HOLDER)
     site.run(150)
@@ -358,7 +358,7 @@
 
 @pytest.mark.parametrize("kill_ms", [0, 60, 75, 150, 400])
 def test_failures_of_a_task_are_counted_across_holders(kill_ms):
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.is_failing = True
     site.submit("a-1/1", "job", count=1, is_kept=True)
@@ -368,23 +368,23 @@
         site.run(150)
         site.grant("b-0/1", {"c": "c-0/1"})
     site.run(SETTLE_MS)
-    failed = [ran for ran in site.ran if ran.kind is EndKind.FAILED]
+    failed = [run for run in site.runs if run.kind is EndKind.FAILED]
     assert len(failed) == 3
     assert _request_states(site, {"job"}, "c-1/1") == {"job": JobState.FAILED}
 
 
 def test_rejected_start_request_leaves_no_end_to_be_stored():
-    site = granted_site()
+    site = make_granted_site()
     confirmed_sequences = []
     for worker in site.workers.values():
-        hold = worker.hold
+        poll = worker.poll
 
-        def record_hold(order, answer, hold=hold):
-            confirmed_sequences.append(order.seen_upto)
-            hold(order, answer)
+        def record_poll(request, answer, poll=poll):
+            confirmed_sequences.append(request.acked_sequence)
+            poll(request, answer)
 
-        worker.hold = record_hold
-        worker.start = lambda order: OrderResult.BAD_ORDER
+        worker.poll = record_poll
+        worker.start = lambda request: CommandResult.BAD_ORDER
     site.leader.commit_ms = 600
     site.submit("a-1/1", "job", count=1, is_kept=True)
     site.run(5000)
@@ -394,7 +394,7 @@
 
 @pytest.mark.parametrize("kill_ms", [0, 1, 13, 30, 200])
 def test_cancelled_job_stops_and_stays_cancelled(kill_ms):
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 2000
     site.submit("a-1/1", "job", 9, is_kept=True, template=_step(2000))
@@ -409,10 +409,10 @@
         site.run(10)
         site.cancel("b-1/1", "job")
     site.run(SETTLE_MS)
-    acked_ms = site.cancelled["job"]
-    runs = [ran for ran in site.ran if ran.task_id.job == "job"]
-    assert all(ran.start_ms <= acked_ms for ran in runs)
-    assert all(ran.end_ms <= acked_ms + STOP_LIMIT_MS for ran in runs)
+    acked_ms = site.cancelled_ms["job"]
+    runs = [run for run in site.runs if run.task_id.job == "job"]
+    assert all(run.start_ms <= acked_ms for run in runs)
+    assert all(run.end_ms <= acked_ms + STOP_LIMIT_MS for run in runs)
     assert _request_states(site, {"job", "other"}, "c-1/1") == {
         "job": JobState.CANCELLED,
         "other": JobState.COMPLETED,
@@ -420,19 +420,19 @@
 
 
 def test_only_a_known_job_can_be_cancelled():
-    site = granted_site()
+    site = make_granted_site()
     site.cancel("b-1/1", "none")
     site.run(50)
-    assert site.cancelled == {}
+    assert site.cancelled_ms == {}
     site.submit("a-1/1", "job", is_kept=True)
     site.run(400)
     site.cancel("b-1/1", "job")
     site.run(50)
-    assert list(site.cancelled) == ["job"]
+    assert list(site.cancelled_ms) == ["job"]
 
 
 def test_every_entry_reports_the_number_of_waiting_jobs():
-    site = granted_site()
+    site = make_granted_site()
     for worker in site.workers.values():
         worker.task_ms = 3000
     for number in range(7):
@@ -440,7 +440,7 @@
         site.run(30)
     assert len(_accepted(site)) == 7
     site.run(400)
-    waiting = {entry.waiting_of("queue") for entry in site.entries.values()}
+    waiting = {entry.pending_count("queue") for entry in site.entries.values()}
     assert waiting == {1}
 
 
@@ -465,7 +465,7 @@
 
 
 def _make_job_store(*changes):
-    job_store = JobBook(ManualClock())
+    job_store = JobStore(ManualClock())
     job_store.apply(changes)
     return job_store
 
@@ -475,7 +475,7 @@
 FAILED_1 = EndTask("job", 0, 0, 1, False)
 FAILED_2 = EndTask("job", 0, 0, 2, False)
 ACCEPT = AcceptJob(_make_job())
-CANCEL = CancelAccepted("job")
+CANCEL = CancelKeptJob("job")
 
 
 @pytest.mark.parametrize(
@@ -494,7 +494,7 @@
 )
 def test_job_state_after_a_sequence_of_changes(changes, state):
     job_store = _make_job_store(*changes)
-    assert job_store.ended().get("job") is state
+    assert job_store.ended_states().get("job") is state
     is_open = any(kept.job.key == "job" for kept in job_store.open_jobs())
     assert is_open == (state is None and ACCEPT in changes)
 
@@ -516,10 +516,10 @@
     split = rng.randrange(5, len(changes))
     original = _make_job_store(*changes)
     partial = _make_job_store(*changes[:split])
-    restored = JobBook(ManualClock())
-    restored.restore(partial.image())
+    restored = JobStore(ManualClock())
+    restored.restore(partial.snapshot())
     restored.apply(tuple(changes[split:]))
-    assert restored.ended() == original.ended()
+    assert restored.ended_states() == original.ended_states()
     assert [kept.done for kept in restored.open_jobs()] == [
         kept.done for kept in original.open_jobs()
     ]
@@ -527,12 +527,12 @@
 
 def test_ended_jobs_are_removed_by_their_age():
     clock = ManualClock()
-    job_store = JobBook(clock)
+    job_store = JobStore(clock)
     for number in range(4):
         clock.advance(100)
         key = f"job-{number}"
-        job_store.apply((AcceptJob(_make_job(key)), CancelAccepted(key)))
-    expired = job_store.ended_before(301, 10)
+        job_store.apply((AcceptJob(_make_job(key)), CancelKeptJob(key)))
+    expired = job_store.find_ended_before(301, 10)
     assert expired == ("job-0", "job-1", "job-2")
-    job_store.forget(expired[:2])
-    assert set(job_store.ended()) == {"job-2", "job-3"}
+    job_store.delete_ended(expired[:2])
+    assert set(job_store.ended_states()) == {"job-2", "job-3"}
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -117,7 +117,7 @@
             [
                 sys.executable,
                 "-m",
-                "clayfield.testbed.poolworkers",
+                "clayfield.testbed.pool_workers",
                 f"--control={addresses}",
             ],
             stdout=subprocess.PIPE,
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -7,11 +7,11 @@
 import msgspec
 import pytest
 
-from clayfield.testbed.poolsite import (
+from clayfield.testbed.pool_site import (
+    DEFAULT_STEP,
     HOLDER,
-    PLACE_CPU,
-    USUAL_STEP,
-    granted_site,
+    SLOT_CPU,
+    make_granted_site,
 )
 
 LONG_MS = 1_000_000
@@ -19,15 +19,15 @@
 # Longest time for which a tail latency may exceed its target.
 MAX_VIOLATION_MS = 4000
 LATENCY_STEP = msgspec.structs.replace(
-    USUAL_STEP, is_lasting=True, target_ms=TARGET_MS
+    DEFAULT_STEP, is_long_running=True, target_ms=TARGET_MS
 )
 BATCH_STEP = msgspec.structs.replace(
-    USUAL_STEP, is_lasting=True, fills=True, cpu=2 * PLACE_CPU
+    DEFAULT_STEP, is_long_running=True, is_batch=True, cpu=2 * SLOT_CPU
 )
 
 
 def _site(seed=1, serving_count=6, batch_count=12):
-    site = granted_site(seed, task_ms=LONG_MS)
+    site = make_granted_site(seed, task_ms=LONG_MS)
     site.submit(
         "a-1/1", "latency", serving_count, is_kept=True, template=LATENCY_STEP
     )
@@ -41,12 +41,14 @@
 
 def _running(site, job):
     return [
-        ran for ran in site.ran if ran.task_id.job == job and ran.end_ms is None
+        run
+        for run in site.runs
+        if run.task_id.job == job and run.end_ms is None
     ]
 
 
 def _batch_percents(site):
-    return [ran.percent for ran in _running(site, "batch")]
+    return [run.speed_percent for run in _running(site, "batch")]
 
 
 def _measure_violations(site, duration_ms):
@@ -75,19 +77,19 @@
     assert len(_running(site, "latency")) == 12
     assert len(_running(site, "batch")) == 12
     by_worker = {}
-    for ran in _running(site, "batch"):
-        by_worker[ran.worker] = by_worker.get(ran.worker, 0) + 1
+    for run in _running(site, "batch"):
+        by_worker[run.worker] = by_worker.get(run.worker, 0) + 1
     assert set(by_worker.values()) == {2}
     site.submit("a-1/1", "job", 1)
     site.run(20)
-    assert site.ended["job"][1].retry_after_ms > 0
+    assert site.outcomes["job"][1].retry_after_ms > 0
 
 
-@pytest.mark.parametrize("disturb_ms", [20.0, 60.0, 200.0, 2000.0])
-def test_latency_target_is_exceeded_only_briefly(disturb_ms):
+@pytest.mark.parametrize("interference_ms", [20.0, 60.0, 200.0, 2000.0])
+def test_latency_target_is_exceeded_only_briefly(interference_ms):
     site = _site(serving_count=12)
     for worker in site.workers.values():
-        worker.disturb_ms = disturb_ms
+        worker.interference_ms = interference_ms
     longest_ms, share = _measure_violations(site, 30_000)
     assert longest_ms < MAX_VIOLATION_MS
     assert share < 0.3
@@ -96,20 +98,20 @@
 def test_batch_tasks_regain_full_speed_once_they_cause_no_latency():
     site = _site(serving_count=12)
     for worker in site.workers.values():
-        worker.disturb_ms = 500.0
+        worker.interference_ms = 500.0
     site.run(5000)
     assert max(_batch_percents(site)) < 20
     for worker in site.workers.values():
-        worker.disturb_ms = 1.0
+        worker.interference_ms = 1.0
     site.run(30_000)
     assert set(_batch_percents(site)) == {100}
 
 
 def test_batch_tasks_are_not_throttled_without_latency_sensitive_tasks():
-    site = granted_site(task_ms=LONG_MS)
+    site = make_granted_site(task_ms=LONG_MS)
     site.submit("a-1/1", "batch", 6, is_kept=True, template=BATCH_STEP)
     for worker in site.workers.values():
-        worker.disturb_ms = 500.0
+        worker.interference_ms = 500.0
     site.run(5000)
     assert set(_batch_percents(site)) == {100}
 
@@ -117,11 +119,11 @@
 def test_new_holder_continues_from_the_speeds_that_workers_report():
     site = _site(serving_count=12)
     for worker in site.workers.values():
-        worker.disturb_ms = 200.0
+        worker.interference_ms = 200.0
     site.run(5000)
     site.kill(HOLDER)
     site.run(150)
     site.grant("b-0/1", {"c": "c-0/1"})
     longest_ms, _ = _measure_violations(site, 10_000)
     assert longest_ms < MAX_VIOLATION_MS
-    assert site.faults() == []
+    assert site.find_violations() == []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,34 +12,34 @@
 from clayfield_platform.workers import PlatformWorkers, read_task
 
 from clayfield.base import ClayfieldError, ManualClock
-from clayfield.node.faces import (
+from clayfield.node.httpclient import CallOutcome, CallResult
+from clayfield.node.httpserver import HttpRequest
+from clayfield.node.interfaces import (
     CancelCall,
     CountCall,
+    HeartbeatCall,
     HttpReply,
     LeaveCall,
     ReadCall,
     StateCall,
-    StatementCall,
     SubmitCall,
     WriteCall,
 )
-from clayfield.node.httpclient import CallOutcome, CallResult
-from clayfield.node.httpserver import HttpRequest
-from clayfield.node.own import OwnCallers, OwnOperators
+from clayfield.node.native import NativeCallers, NativeOperators
 from clayfield.pool import (
-    AskAdvisor,
+    CommandResult,
     EndKind,
-    HoldAnswer,
-    HoldWorker,
-    OrderResult,
+    PollReply,
+    PollWorker,
     PoolTiming,
+    RequestAdvice,
     Routes,
     StartRun,
     StopRun,
     TaskId,
 )
 from clayfield.pool.dispatcher import Dispatcher
-from clayfield.wire.cluster import JobEnded, StateTold, SubmitJob
+from clayfield.wire.cluster import JobEnded, JobStateReply, SubmitJob
 from clayfield.wire.jobs import (
     JobState,
     Reason,
@@ -164,15 +164,15 @@
     step = _call("POST", f"/q/{KEY}", {**JOB, "steps": [fields]}).job.steps[0]
     assert step == Step(
         2,
-        requires="b",
+        required_label="b",
         rack="r1-3",
         max_per_worker=1,
         is_checkpointing=True,
         is_gang=True,
-        wants_one_rack=True,
-        is_lasting=True,
+        prefers_one_rack=True,
+        is_long_running=True,
         target_ms=80,
-        fills=True,
+        is_batch=True,
     )
 
 
@@ -224,10 +224,10 @@
 @pytest.mark.parametrize(
     ("state_reply", "status", "state"),
     [
-        (StateTold(1, JobState.RUNNING, True), 200, "running"),
-        (StateTold(1, JobState.COMPLETED, True), 200, "completed"),
-        (StateTold(1, None, True), 410, None),
-        (StateTold(1, None, False), 503, None),
+        (JobStateReply(1, JobState.RUNNING, True), 200, "running"),
+        (JobStateReply(1, JobState.COMPLETED, True), 200, "completed"),
+        (JobStateReply(1, None, True), 410, None),
+        (JobStateReply(1, None, False), 503, None),
         (None, 503, None),
     ],
 )
@@ -291,7 +291,7 @@
     call = PlatformOperators().read_call(
         _request("PUT", "/-/instances/i-7", body)
     )
-    assert isinstance(call, StatementCall)
+    assert isinstance(call, HeartbeatCall)
     info = call.info
     assert (info.name, info.state) == ("i-7", WorkerState.DRAINING)
     assert (info.cpu, info.memory_mb, info.gpu) == (16000, 32768, 1)
@@ -324,9 +324,9 @@
 
 def test_advisor_request_is_encoded_and_reply_decoded():
     protocol = PlatformWorkers()
-    command = AskAdvisor(1, KEY, 0, 1, ["i-1", "i-2"])
+    command = RequestAdvice(1, KEY, 0, 1, ["i-1", "i-2"])
     line, headers, body = _parse_request(
-        protocol.write_question(command, "1.2.3.4:5")
+        protocol.write_advice_request(command, "1.2.3.4:5")
     )
     assert line == "POST /-/advise HTTP/1.1"
     assert "Clayfield-Target-Instance" not in headers
@@ -337,7 +337,7 @@
         b'{"good":[["i-1","c81e"]],"valid_ms":3000}',
     )
     advice = protocol.read_advice(result)
-    assert (advice.is_answer, advice.tickets) == (True, {"i-1": "c81e"})
+    assert (advice.is_reply, advice.tickets) == (True, {"i-1": "c81e"})
     assert advice.valid_ms == 3000
 
 
@@ -351,7 +351,7 @@
     ],
 )
 def test_failed_advisor_call_gives_no_advice(result):
-    assert not PlatformWorkers().read_advice(result).is_answer
+    assert not PlatformWorkers().read_advice(result).is_reply
 
 
 def test_worker_requests_have_the_platforms_format():
@@ -370,30 +370,30 @@
     stop = StopRun("i-1", "10.0.0.9:80", TASK, 2, 7)
     _, _, body = _parse_request(protocol.write_stop(stop))
     assert body == {"task": f"{KEY}.0.1.17", "run": 2, "fence": 7}
-    poll = HoldWorker("i-1", "10.0.0.9:80", 57, 400, None, 7, 1)
-    _, _, body = _parse_request(protocol.write_hold(poll))
+    poll = PollWorker("i-1", "10.0.0.9:80", 57, 400, None, 7, 1)
+    _, _, body = _parse_request(protocol.write_poll(poll))
     assert body == {"fence": 7, "seen_upto": 57, "wait_ms": 400}
 
 
 @pytest.mark.parametrize(
     ("status", "body", "result"),
     [
-        (200, {"clock_ms": 5}, OrderResult.DONE),
-        (409, {"clock_ms": 5, "reason": "fence"}, OrderResult.FENCED),
-        (409, {"clock_ms": 5, "reason": "old"}, OrderResult.OLD_RUN),
-        (409, {"clock_ms": 5, "reason": "late"}, OrderResult.TOO_LATE),
-        (409, {"clock_ms": 5, "reason": "room"}, OrderResult.NO_ROOM),
-        (400, {}, OrderResult.BAD_ORDER),
-        (421, {}, OrderResult.GONE),
-        (429, {}, OrderResult.UNHEALTHY),
-        (503, {}, OrderResult.UNHEALTHY),
+        (200, {"clock_ms": 5}, CommandResult.DONE),
+        (409, {"clock_ms": 5, "reason": "fence"}, CommandResult.FENCED),
+        (409, {"clock_ms": 5, "reason": "old"}, CommandResult.OLD_RUN),
+        (409, {"clock_ms": 5, "reason": "late"}, CommandResult.TOO_LATE),
+        (409, {"clock_ms": 5, "reason": "room"}, CommandResult.NO_ROOM),
+        (400, {}, CommandResult.BAD_ORDER),
+        (421, {}, CommandResult.GONE),
+        (429, {}, CommandResult.UNHEALTHY),
+        (503, {}, CommandResult.UNHEALTHY),
     ],
 )
 def test_reply_to_a_start_is_decoded(status, body, result):
     call_result = CallResult(
         CallOutcome.ANSWERED, status, json.dumps(body).encode()
     )
-    assert PlatformWorkers().read_order_answer(call_result).result is result
+    assert PlatformWorkers().read_command_reply(call_result).result is result
 
 
 def test_poll_reply_is_decoded():
@@ -405,16 +405,17 @@
     call_result = CallResult(
         CallOutcome.ANSWERED, 200, json.dumps(body).encode()
     )
-    reply = PlatformWorkers().read_hold_answer(call_result)
-    assert reply.result is OrderResult.DONE
+    reply = PlatformWorkers().read_poll_reply(call_result)
+    assert reply.result is CommandResult.DONE
     assert reply.running[0].task_id == TASK
-    assert reply.running[0].percent == 41
+    assert reply.running[0].speed_percent == 41
     ended = reply.ended[0]
     assert (ended.sequence, ended.kind) == (58, EndKind.DONE)
     assert ended.task_id == read_task(f"{KEY}.0.1.9")
     truncated = CallResult(CallOutcome.ANSWERED, 200, b'{"clock_ms":')
     assert (
-        PlatformWorkers().read_hold_answer(truncated).result is OrderResult.LOST
+        PlatformWorkers().read_poll_reply(truncated).result
+        is CommandResult.LOST
     )
 
 
@@ -526,13 +527,13 @@
     call = callers.read_call(_request("POST", path, job), routes)
     clock = ManualClock(1000.0)
     dispatcher = Dispatcher(clock, PoolTiming(), 8)
-    dispatcher.on_worker(info)
+    dispatcher.on_worker_heartbeat(info)
     dispatcher.tick()
     dispatcher.take_actions()
-    reply = HoldAnswer(OrderResult.DONE, 5000.0)
-    dispatcher.fleet.on_hold_answer(info.name, 8_000_001, 1000.0, reply)
+    reply = PollReply(CommandResult.DONE, 5000.0)
+    dispatcher.fleet.on_poll_reply(info.name, 8_000_001, 1000.0, reply)
     dispatcher.on_submit("entry/1", SubmitJob(call.job, 0.0, 1))
-    dispatcher.place()
+    dispatcher.place_tasks()
     return [
         (
             type(command).__name__,
@@ -544,8 +545,8 @@
 
 def test_native_and_platform_protocols_give_the_same_commands():
     native = _commands_for_job(
-        OwnCallers(),
-        OwnOperators(),
+        NativeCallers(),
+        NativeOperators(),
         NATIVE_ROUTING,
         ("/v1/workers/i-7", NATIVE_HEARTBEAT),
         NATIVE_JOB,
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -7,29 +7,29 @@
 import msgspec
 import pytest
 
-from clayfield.testbed.poolsite import (
+from clayfield.testbed.pool_site import (
+    DEFAULT_STEP,
     HALLS,
     HOLDER,
     STANDBYS,
-    USUAL_STEP,
-    granted_site,
+    make_granted_site,
 )
 from clayfield.wire.jobs import Verdict
 
 
 def _site(seed=1, workers=2):
-    return granted_site(seed, workers, settle_ms=200)
+    return make_granted_site(seed, workers, settle_ms=200)
 
 
 def _disable_capacity_checks(site):
     """Makes workers accept starts when full, and varies task durations."""
     for worker in site.workers.values():
-        worker.is_guarding = False
-        worker.spread = 0.8
+        worker.enforces_capacity = False
+        worker.duration_spread = 0.8
 
 
 def _verdicts(site):
-    return {key: ended.verdict for key, (_, ended) in site.ended.items()}
+    return {key: ended.verdict for key, (_, ended) in site.outcomes.items()}
 
 
 @pytest.mark.parametrize("node", ["a-0/1", "a-1/1", "c-1/1"])
@@ -37,10 +37,10 @@
     site = _site()
     site.submit(node, "job", count=4)
     site.run(100)
-    at_ms, ended = site.ended["job"]
+    at_ms, ended = site.outcomes["job"]
     assert ended.verdict is Verdict.COMPLETED
     assert at_ms <= 200 + 60 + 10
-    assert len(site.ran) == 4
+    assert len(site.runs) == 4
 
 
 def test_job_that_cannot_meet_its_objective_is_refused_at_once():
@@ -48,11 +48,11 @@
     for number in range(3):
         site.submit("a-0/1", f"job-{number}", count=6)
     site.run(5)
-    refused = site.ended["job-2"][1]
+    refused = site.outcomes["job-2"][1]
     assert refused.verdict is Verdict.REFUSED
     assert refused.retry_after_ms > 0
     site.run(300)
-    assert not [ran for ran in site.ran if ran.task_id.job == "job-2"]
+    assert not [run for run in site.runs if run.task_id.job == "job-2"]
 
 
 def test_job_submitted_at_two_entry_nodes_runs_once():
@@ -61,7 +61,7 @@
     site.submit("b-1/1", "job")
     site.run(200)
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
-    assert len(site.ran) == 2
+    assert len(site.runs) == 2
 
 
 def test_failed_task_is_retried_on_another_worker():
@@ -77,15 +77,15 @@
     site = _site(seed)
     _disable_capacity_checks(site)
     for worker in site.workers.values():
-        worker.late_share = 0.3
+        worker.delayed_start_share = 0.3
     for number in range(30):
         node = f"{HALLS[number % 3]}-1/1"
         site.submit(node, f"job-{number}", count=2)
         site.run(120)
     site.run(5000)
-    assert site.runs_together() == []
-    assert site.over_room == []
-    assert len(site.ended) == 30
+    assert site.overlapping_runs() == []
+    assert site.over_capacity == []
+    assert len(site.outcomes) == 30
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -101,9 +101,9 @@
             site.run(30)
             site.grant("b-0/1", {"c": "c-0/1"})
     site.run(6000)
-    assert site.runs_together() == []
-    assert site.over_room == []
-    assert len(site.ended) == 20
+    assert site.overlapping_runs() == []
+    assert site.over_capacity == []
+    assert len(site.outcomes) == 20
     later_keys = [f"job-{number}" for number in range(13, 20)]
     assert all(_verdicts(site)[key] is Verdict.COMPLETED for key in later_keys)
 
@@ -119,7 +119,7 @@
             site.run(25)
 
     submit_for(200)
-    site.cut_off(hall)
+    site.partition(hall)
     submit_for(partition_ms)
     site.heal(hall)
     submit_for(heal_ms)
@@ -137,19 +137,19 @@
     site = _site(seed)
     _disable_capacity_checks(site)
     keys = _submit_through_partition(site, hall, 1500, 10 + 20 * seed)
-    assert site.runs_together() == []
-    assert site.over_room == []
-    assert set(site.ended) == set(keys)
+    assert site.overlapping_runs() == []
+    assert site.over_capacity == []
+    assert set(site.outcomes) == set(keys)
 
 
 def test_standby_runs_jobs_of_a_partitioned_hall():
     site = _site()
-    site.cut_off("b")
+    site.partition("b")
     site.run(600)
     site.submit("b-1/1", "job", count=2)
     site.run(200)
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
-    assert {ran.worker for ran in site.ran} <= {"worker-b-0", "worker-b-1"}
+    assert {run.worker for run in site.runs} <= {"worker-b-0", "worker-b-1"}
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -159,14 +159,14 @@
         worker.task_ms = 900.0
     site.submit("b-1/1", "job", count=6)
     site.run(100 + 10 * seed)
-    site.cut_off("b")
+    site.partition("b")
     site.run(2000)
-    assert site.runs_together() == []
+    assert site.overlapping_runs() == []
     site.heal("b")
     site.grant(HOLDER, STANDBYS)
     site.run(4000)
-    assert site.runs_together() == []
-    assert "job" in site.ended
+    assert site.overlapping_runs() == []
+    assert "job" in site.outcomes
 
 
 def test_stopping_entry_node_refuses_new_jobs_and_abandons_open_ones():
@@ -177,35 +177,35 @@
     site.submit("c-1/1", "open")
     site.run(100)
     entry.begin_stop()
-    entry.is_refusing = True
+    entry.rejects_jobs = True
     site.submit("c-1/1", "late")
-    assert site.ended["late"][1].verdict is Verdict.REFUSED
-    entry.give_up_all()
+    assert site.outcomes["late"][1].verdict is Verdict.REFUSED
+    entry.fail_all()
     site.run(50)
-    assert site.ended["open"][1].verdict is Verdict.ABANDONED
+    assert site.outcomes["open"][1].verdict is Verdict.ABANDONED
 
 
 def test_worker_with_hung_tasks_gets_few_new_tasks():
     site = _site()
     hung = site.workers["worker-a-0"]
-    hung.is_hanging = True
+    hung.is_hung = True
     for number in range(40):
         site.submit("a-0/1", f"job-{number}", count=2)
         site.run(100)
-    started = [ran for ran in site.ran if ran.worker == hung.info.name]
+    started = [run for run in site.runs if run.worker == hung.info.name]
     assert len(started) <= 8
     assert set(_verdicts(site).values()) == {Verdict.COMPLETED}
-    assert site.runs_together() == []
+    assert site.overlapping_runs() == []
 
 
 def test_hung_task_is_moved_and_its_job_completes():
     site = _site()
     for name in ("worker-a-0", "worker-b-1"):
-        site.workers[name].is_hanging = True
+        site.workers[name].is_hung = True
     site.submit("c-1/1", "job", count=6)
     site.run(600)
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
-    assert site.runs_together() == []
+    assert site.overlapping_runs() == []
 
 
 def test_slow_worker_is_rarely_selected():
@@ -215,7 +215,7 @@
     for number in range(40):
         site.submit("a-0/1", f"job-{number}", count=2)
         site.run(150)
-    started = [ran for ran in site.ran if ran.worker == slow.info.name]
+    started = [run for run in site.runs if run.worker == slow.info.name]
     assert len(started) <= 3
 
 
@@ -224,10 +224,10 @@
     site = _site(seed)
     for worker in site.workers.values():
         worker.task_ms = 300.0
-    site.cut_off("b")
+    site.partition("b")
     site.run(800)
     site.kill(HOLDER)
-    site.start_anew("a-0/2", "a", {"a", "c"})
+    site.restart("a-0/2", "a", {"a", "c"})
     site.grant("a-0/2", STANDBYS)
     site.run(400)
     for number in range(10):
@@ -237,13 +237,13 @@
     site.run(40)
     site.grant("a-0/2", STANDBYS)
     site.run(6000)
-    assert site.runs_together() == []
-    assert len(site.ended) == 10
+    assert site.overlapping_runs() == []
+    assert len(site.outcomes) == 10
 
 
 def test_removed_worker_is_removed_at_every_entry_node():
     site = _site()
-    site.workers["worker-c-1"].is_gone = True
+    site.workers["worker-c-1"].is_replaced = True
     site.run(1500)
     for entry in site.entries.values():
         assert "worker-c-1" not in entry.known_workers
@@ -253,9 +253,9 @@
     site = _site(workers=100)
     site.run(4000)
     assert len(site.entries[HOLDER].dispatcher.fleet.workers) == 300
-    site.holds = 0
+    site.poll_count = 0
     site.run(10_000)
-    assert 300 <= site.holds <= 1000
+    assert 300 <= site.poll_count <= 1000
     site.submit("b-1/1", "job", count=40)
     site.run(100)
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
@@ -266,22 +266,22 @@
     site.run(4000)
     for worker in site.workers.values():
         worker.task_ms = 3000
-    template = msgspec.structs.replace(USUAL_STEP, estimate_ms=3000.0)
+    template = msgspec.structs.replace(DEFAULT_STEP, estimate_ms=3000.0)
     site.submit("b-1/1", "job", count=10, template=template)
     site.run(3200)
     assert _verdicts(site) == {"job": Verdict.COMPLETED}
-    assert len(site.ran) == 10
+    assert len(site.runs) == 10
 
 
 def test_new_holder_limits_concurrent_polls_of_many_workers():
     site = _site(workers=100)
     site.kill(HOLDER)
     site.run(150)
-    site.holds = 0
+    site.poll_count = 0
     site.grant("b-0/1", {"c": "c-0/1"})
     # One or two ticks of the new holder, each with at most 64 polls.
     site.run(22)
-    assert 0 < site.holds <= 128
+    assert 0 < site.poll_count <= 128
     site.run(400)
     fleet = site.entries["b-0/1"].dispatcher.fleet
-    assert all(worker.is_adopted for worker in fleet.workers.values())
+    assert all(worker.is_synced for worker in fleet.workers.values())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -24,12 +24,14 @@
 @pytest.fixture(scope="module")
 def cluster(tmp_path_factory):
     folder = tmp_path_factory.mktemp("boxes")
-    with Cluster(folder, CONFIG, {"west-1": 3}, 3, extra=OPTIONS) as running:
+    with Cluster(
+        folder, CONFIG, {"west-1": 3}, 3, extra_flags=OPTIONS
+    ) as running:
         yield running
 
 
 def _submit(box, key, body, token=TOKEN, **headers):
-    conn = http.client.HTTPConnection("127.0.0.1", box.callers, timeout=30)
+    conn = http.client.HTTPConnection("127.0.0.1", box.callers_port, timeout=30)
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     fields = {"Authorization": f"Bearer {token}", **headers}
     if key is not None:
@@ -42,7 +44,7 @@
 
 
 def _get(box, path, token=TOKEN):
-    conn = http.client.HTTPConnection("127.0.0.1", box.callers, timeout=30)
+    conn = http.client.HTTPConnection("127.0.0.1", box.callers_port, timeout=30)
     conn.request("GET", path, headers={"Authorization": f"Bearer {token}"})
     response = conn.getresponse()
     answer = response.read()
@@ -88,7 +90,7 @@
 
 def test_incomplete_request_times_out(cluster):
     conn = http.client.HTTPConnection(
-        "127.0.0.1", _box(cluster, 0).callers, timeout=30
+        "127.0.0.1", _box(cluster, 0).callers_port, timeout=30
     )
     conn.putrequest("POST", "/v1/submissions")
     conn.putheader("Content-Length", "1000")
@@ -123,7 +125,7 @@
 def test_command_line_applies_valid_files_and_rejects_invalid_ones(
     cluster, tmp_path, capsys
 ):
-    url = f"http://127.0.0.1:{_box(cluster, 1).operators}"
+    url = f"http://127.0.0.1:{_box(cluster, 1).operators_port}"
     common = ["--box-urls", url, "--token", "operator", "--output", "json"]
     text = pathlib.Path(CONFIG).read_text()
     valid = tmp_path / "valid.yaml"
@@ -156,7 +158,9 @@
 
 def test_metrics_and_health_are_served(cluster):
     box = _box(cluster, 0)
-    conn = http.client.HTTPConnection("127.0.0.1", box.operators, timeout=30)
+    conn = http.client.HTTPConnection(
+        "127.0.0.1", box.operators_port, timeout=30
+    )
     for path, content in (
         ("/healthz", b"ok"),
         ("/readyz", b"ready"),
@@ -169,7 +173,9 @@
 
 def test_crash_and_planned_stop_neither_lose_nor_repeat_tasks(tmp_path):
     with (
-        Cluster(tmp_path, CONFIG, {"west-1": 3}, 3, extra=OPTIONS) as cluster,
+        Cluster(
+            tmp_path, CONFIG, {"west-1": 3}, 3, extra_flags=OPTIONS
+        ) as cluster,
         concurrent.futures.ThreadPoolExecutor(40) as pool,
     ):
         slow = {**BODY, "tasks": [{"run_ms": 400}] * 2}
@@ -211,7 +217,7 @@
     text = pathlib.Path(CONFIG).read_text()
     with Cluster(tmp_path, CONFIG, {"west-1": 3}, 1) as cluster:
         boxes = list(cluster.boxes.values())
-        urls = ",".join(f"http://127.0.0.1:{b.operators}" for b in boxes)
+        urls = ",".join(f"http://127.0.0.1:{b.operators_port}" for b in boxes)
         common = ["--box-urls", urls, "--token", "operator"]
         for version in range(1, 7):
             if version in (3, 5):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from clayfield.base import Kind, ManualClock
+from clayfield.base import ErrorKind, ManualClock
 from clayfield.config import (
     Configuration,
     Limits,
@@ -77,21 +77,23 @@
         )
         self.scheduler.on_request(node, request)
 
-    def assign(self):
-        self.scheduler.assign()
+    def grant_slots(self):
+        self.scheduler.grant_slots()
         for _, message in self.scheduler.outbox:
             if isinstance(message, SlotGrant):
                 slots = self.granted.setdefault(message.request, [])
                 slots += message.grants
             elif isinstance(message, SlotRefuse):
-                self.refused[message.request] = Kind.from_code(message.code)
+                self.refused[message.request] = ErrorKind.from_code(
+                    message.code
+                )
         self.scheduler.outbox.clear()
 
     def release(self, number, result=RELEASE_DONE, took_ms=100.0):
         grant, worker = self.granted[number].pop()
         release = SlotRelease(grant, worker, result, took_ms)
         self.scheduler.on_release("a/1", release)
-        self.assign()
+        self.grant_slots()
 
     def grant_order(self, numbers):
         """Releases held slots one by one; returns the order of the grants."""
@@ -116,10 +118,10 @@
 def test_requests_are_served_by_class_then_by_remaining_work(requests, order):
     harness = SchedulerHarness(WORKERS[:1])
     harness.request(0)
-    harness.assign()
+    harness.grant_slots()
     for number, (priority, tasks) in enumerate(requests, 1):
         harness.request(number, priority, tasks)
-    harness.assign()
+    harness.grant_slots()
     assert list(harness.granted) == [0]
     assert harness.grant_order(order)[: len(order)][0] == order[0]
 
@@ -127,7 +129,7 @@
 def test_old_large_job_is_served_before_a_new_small_job():
     harness = SchedulerHarness(WORKERS[:1])
     harness.request(0)
-    harness.assign()
+    harness.grant_slots()
     harness.request(1, tasks=4)
     harness.clock.advance(4000.0)
     harness.request(2, tasks=1)
@@ -138,27 +140,27 @@
 @pytest.mark.parametrize(
     ("fields", "kind"),
     [
-        ({"service": "none"}, Kind.NO_WORKER),
-        ({"service": "gone"}, Kind.NOT_FOUND),
-        ({"priority": "gone"}, Kind.NOT_FOUND),
-        ({"member": "small", "tasks": 3}, Kind.QUOTA),
-        ({"deadline_ms": 50.0}, Kind.DEADLINE),
+        ({"service": "none"}, ErrorKind.NO_WORKER),
+        ({"service": "gone"}, ErrorKind.NOT_FOUND),
+        ({"priority": "gone"}, ErrorKind.NOT_FOUND),
+        ({"member": "small", "tasks": 3}, ErrorKind.QUOTA),
+        ({"deadline_ms": 50.0}, ErrorKind.DEADLINE),
     ],
 )
 def test_request_that_cannot_be_served_is_refused_at_once(fields, kind):
     harness = SchedulerHarness()
     harness.request(1, **fields)
-    harness.assign()
+    harness.grant_slots()
     assert harness.refused == {1: kind}
 
 
 def test_newest_requests_of_lowest_priced_class_are_refused_first():
     harness = SchedulerHarness(WORKERS[:1])
     harness.request(0)
-    harness.assign()
+    harness.grant_slots()
     for number in range(1, 9):
         harness.request(number, "cheap", tasks=1)
-    harness.assign()
+    harness.grant_slots()
     assert set(harness.refused) <= set(range(1, 9))
     assert harness.refused
     retained = set(range(1, 9)) - set(harness.refused)
@@ -166,25 +168,25 @@
     before = set(harness.refused)
     for number in range(10, 30):
         harness.request(number, "dear", tasks=1)
-    harness.assign()
+    harness.grant_slots()
     dear = [n for n in harness.refused if n >= 10]
     assert retained <= set(harness.refused), (
         "a dear request was refused before a cheap one"
     )
     assert dear
-    assert set(harness.refused.values()) == {Kind.QUEUE_FULL}
+    assert set(harness.refused.values()) == {ErrorKind.QUEUE_FULL}
     assert before <= set(harness.refused)
     harness.request(99, "cancel")
-    harness.assign()
+    harness.grant_slots()
     assert 99 not in harness.refused
 
 
 def test_slot_quota_delays_a_member_except_in_the_top_class():
     harness = SchedulerHarness()
     harness.request(1, member="small", tasks=2)
-    harness.assign()
+    harness.grant_slots()
     harness.request(2, "cancel", member="small")
-    harness.assign()
+    harness.grant_slots()
     assert len(harness.granted[1]) == 1
     assert len(harness.granted[2]) == 1
     harness.release(2)
@@ -203,7 +205,7 @@
 def test_service_is_granted_only_suitable_workers(service, tasks, workers):
     harness = SchedulerHarness()
     harness.request(1, service=service, tasks=tasks)
-    harness.assign()
+    harness.grant_slots()
     names = sorted(worker for _, worker in harness.granted[1])
     racks = {w.name: w.rack for w in WORKERS}
     if service == "spread":
@@ -228,15 +230,15 @@
     harness = SchedulerHarness(WORKERS[:1])
     for number in range(failures):
         harness.request(number)
-        harness.assign()
+        harness.grant_slots()
         harness.release(number, result)
     harness.request(50)
-    harness.assign()
+    harness.grant_slots()
     assert (50 not in harness.granted) == is_paused
     if is_paused and result != RELEASE_LEAVING:
         harness.clock.advance(INITIAL_PAUSE_MS + 1)
         harness.scheduler.tick()
-        harness.assign()
+        harness.grant_slots()
         assert harness.granted[50]
 
 
@@ -248,7 +250,7 @@
     ]
     harness.scheduler.set_workers(leaving)
     harness.request(1, tasks=3)
-    harness.assign()
+    harness.grant_slots()
     assert [worker for _, worker in harness.granted[1]] == ["w1"]
 
 
@@ -256,28 +258,28 @@
     harness = SchedulerHarness(WORKERS[:1])
     harness.request(1, node="b/1")
     harness.request(2)
-    harness.assign()
+    harness.grant_slots()
     assert 2 not in harness.granted
     harness.scheduler.on_node_lost("b/1")
-    harness.assign()
+    harness.grant_slots()
     assert harness.granted[2]
 
 
 def test_report_of_a_box_replaces_lost_messages():
     harness = SchedulerHarness(WORKERS[:2])
     harness.request(1, tasks=2)
-    harness.assign()
+    harness.grant_slots()
     harness.request(2)
-    harness.assign()
+    harness.grant_slots()
     retained = harness.granted[1][0]
     request = SlotRequest(1, "m", "work", "dear", 1, 0.0)
     harness.clock.advance(2000.0)
     report = SlotSync([HeldSlot(*retained, request)], [])
-    harness.scheduler.on_sync("a/1", report)
-    harness.assign()
+    harness.scheduler.on_slot_sync("a/1", report)
+    harness.grant_slots()
     assert 2 not in harness.granted, "request 2 is missing from the report"
     harness.request(3)
-    harness.assign()
+    harness.grant_slots()
     assert harness.granted[3][0][1] == harness.granted[1][1][1]
 
 
@@ -285,7 +287,7 @@
     harness = SchedulerHarness(WORKERS[:1])
     harness.request(0)
     harness.request(1)
-    harness.assign()
+    harness.grant_slots()
     harness.scheduler.on_cancel("a/1", SlotCancel(1))
     harness.release(0)
     assert 1 not in harness.granted
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from clayfield.base import ClayfieldError, Kind
+from clayfield.base import ClayfieldError, ErrorKind
 from clayfield.daemon.store import HEADER, Store, frame_record
-from clayfield.state import Append, Born, HardState, Snapshot
+from clayfield.state import Append, HardState, LogCreated, Snapshot
 from clayfield.wire.messages import LogEntry, Members
 
 ENTRIES = [Append(n, LogEntry(1, 0, b"x" * n)) for n in range(1, 6)]
-RECORDS = [Born("control@a/1#1"), HardState(1, "a/1"), *ENTRIES]
+RECORDS = [LogCreated("control@a/1#1"), HardState(1, "a/1"), *ENTRIES]
 
 
 def _make_log(folder):
@@ -22,12 +22,12 @@
 
 def test_written_records_are_restored_on_opening(tmp_path):
     _make_log(tmp_path)
-    made = Store(str(tmp_path)).made
+    disk_id = Store(str(tmp_path)).disk_id
     state = Store(str(tmp_path)).state
     assert state.instance == "control@a/1#1"
-    assert state.hard == HardState(1, "a/1")
+    assert state.hard_state == HardState(1, "a/1")
     assert state.log.last_index == 5
-    assert Store(str(tmp_path)).made == made
+    assert Store(str(tmp_path)).disk_id == disk_id
 
 
 @pytest.mark.parametrize("cut", [1, 5, HEADER.size, HEADER.size + 3])
@@ -50,7 +50,7 @@
     path.write_bytes(data)
     with pytest.raises(ClayfieldError, match="Move the folder away") as info:
         Store(str(tmp_path))
-    assert info.value.kind is Kind.STORE_DAMAGED
+    assert info.value.kind is ErrorKind.STORE_DAMAGED
     assert path.read_bytes() == data
 
 
@@ -79,7 +79,7 @@
     for _ in range(2):
         with pytest.raises(ClayfieldError, match="Free space") as info:
             store.write([Append(6, LogEntry(1, 0, b""))])
-        assert info.value.kind is Kind.STORE_FAILED
+        assert info.value.kind is ErrorKind.STORE_FAILED
 
 
 def test_log_without_identity_file_is_an_error(tmp_path):
@@ -87,7 +87,7 @@
     (tmp_path / "made").unlink()
     with pytest.raises(ClayfieldError) as info:
         Store(str(tmp_path))
-    assert info.value.kind is Kind.STORE_DAMAGED
+    assert info.value.kind is ErrorKind.STORE_DAMAGED
 
 
 def test_gap_between_entries_is_an_error(tmp_path):
@@ -102,8 +102,8 @@
     _make_log(tmp_path)
     store = Store(str(tmp_path))
     state = store.state
-    state.log.put(6, LogEntry(1, 0, b"six"))
-    state.log.put(7, LogEntry(1, 0, b"not yet written"))
+    state.log.truncate_and_append(6, LogEntry(1, 0, b"six"))
+    state.log.truncate_and_append(7, LogEntry(1, 0, b"not yet written"))
     store.write([Append(6, LogEntry(1, 0, b"six"))])
     assert state.log.last_index == 7
     store.close()
--- a/tests/test_timed.py
+++ b/tests/test_timed.py
@@ -7,7 +7,7 @@
 import pytest
 
 from clayfield.pool import EndKind
-from clayfield.testbed.poolsite import HOLDER, USUAL_STEP, granted_site
+from clayfield.testbed.pool_site import DEFAULT_STEP, HOLDER, make_granted_site
 from clayfield.wire.jobs import JobState, Schedule
 
 WALL_MS = 1_700_000_000_000.0
@@ -17,14 +17,14 @@
 
 
 def _site(seed=1):
-    site = granted_site(seed)
+    site = make_granted_site(seed)
     site.clock.wall_offset_ms = WALL_MS
     return site
 
 
 def _submit(site, repeats=4, steps=1, estimate_ms=60.0):
     start_ms = site.clock.wall_ms() + FIRST_DELAY_MS
-    template = msgspec.structs.replace(USUAL_STEP, estimate_ms=estimate_ms)
+    template = msgspec.structs.replace(DEFAULT_STEP, estimate_ms=estimate_ms)
     schedule = Schedule(repeats, start_ms, INTERVAL_MS)
     site.submit("b-1/1", "job", 2, steps, True, template, schedule)
     return start_ms - WALL_MS
@@ -33,30 +33,30 @@
 def _starts(site):
     """Returns the earliest start of each iteration, on the monotonic clock."""
     starts = {}
-    for ran in site.ran:
-        iteration = ran.task_id.time
+    for run in site.runs:
+        iteration = run.task_id.iteration
         starts[iteration] = min(
-            starts.get(iteration, ran.start_ms), ran.start_ms
+            starts.get(iteration, run.start_ms), run.start_ms
         )
     return starts
 
 
 def _state(site):
-    site.ask("c-1/1", "job")
+    site.request_state("c-1/1", "job")
     site.run(250)
-    return site.states["job"]
+    return site.reported_states["job"]
 
 
 def _assert_no_violations(site):
-    assert site.faults() == []
-    assert site.started_after_done() == []
+    assert site.find_violations() == []
+    assert site.find_restarts_after_end() == []
 
 
 def test_each_iteration_starts_when_it_is_due():
     site = _site()
     first_ms = _submit(site, steps=2)
     site.run(300)
-    assert site.ran == []
+    assert site.runs == []
     assert _state(site) is JobState.QUEUED
     site.run(2500)
     assert _state(site) is JobState.RUNNING
@@ -64,7 +64,7 @@
     for iteration, start_ms in _starts(site).items():
         due_ms = first_ms + iteration * INTERVAL_MS
         assert due_ms <= start_ms <= due_ms + TICK_MS
-    assert len(site.ends("job", EndKind.DONE)) == 16
+    assert len(site.runs_ended_as("job", EndKind.DONE)) == 16
     assert _state(site) is JobState.COMPLETED
     _assert_no_violations(site)
 
@@ -75,8 +75,8 @@
         worker.task_ms = 2500
     _submit(site, repeats=3, estimate_ms=2500.0)
     site.run(2900)
-    assert {ran.task_id.time for ran in site.ran} == {0, 1, 2}
-    assert all(ran.end_ms is None for ran in site.ran)
+    assert {run.task_id.iteration for run in site.runs} == {0, 1, 2}
+    assert all(run.end_ms is None for run in site.runs)
     site.run(3000)
     assert _state(site) is JobState.COMPLETED
 
@@ -94,7 +94,7 @@
         assert start_ms >= first_ms + iteration * INTERVAL_MS - max(
             0.0, jump_ms
         )
-    assert len(site.ends("job", EndKind.DONE)) == 8
+    assert len(site.runs_ended_as("job", EndKind.DONE)) == 8
     assert _state(site) is JobState.COMPLETED
     _assert_no_violations(site)
 
@@ -111,7 +111,7 @@
     _assert_no_violations(site)
     for iteration, start_ms in _starts(site).items():
         assert start_ms >= first_ms + iteration * INTERVAL_MS
-    done = {ran.task_id for ran in site.ends("job", EndKind.DONE)}
+    done = {run.task_id for run in site.runs_ended_as("job", EndKind.DONE)}
     assert len(done) == 16
     assert _state(site) is JobState.COMPLETED
 
@@ -122,5 +122,5 @@
     site.run(1000)
     site.cancel("a-1/1", "job")
     site.run(6000)
-    assert {ran.task_id.time for ran in site.ran} == {0}
+    assert {run.task_id.iteration for run in site.runs} == {0}
     assert _state(site) is JobState.CANCELLED
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -8,7 +8,7 @@
 )
 
 from clayfield.daemon.tracing import Tracing
-from clayfield.dispatch import JobRequest, StartTask, Submission, TaskEnd
+from clayfield.dispatch import JobRequest, StartTask, Submission, TaskOutcome
 from clayfield.wire.messages import Outcome
 
 TRACE = "0af7651916cd43dd8448eb211c80319c"
@@ -17,15 +17,15 @@
 
 
 def _trace_submission(tracing, parent):
-    traceparent = tracing.begin("k", parent)
+    traceparent = tracing.start_submission("k", parent)
     req = JobRequest("m", "k", b"", "s", "p", [b"1"], traceparent=traceparent)
     sub = Submission(1, "m/k", b"d", req, 100.0)
     sub.is_claimed = True
     sub.claimed_ms = 101.0
     sub.granted_ms = 102.0
     start = StartTask(7, "w", 1, 0, 1, "p", 1000.0, b"1", traceparent)
-    worker_traceparent = tracing.on_start(start)
-    tracing.on_task_end(7, TaskEnd.ANSWERED)
+    worker_traceparent = tracing.start_task(start)
+    tracing.on_task_end(7, TaskOutcome.ANSWERED)
     tracing.on_finished(sub, Outcome(200, b""))
     tracing.close()
     return worker_traceparent
