--- a/bench/oracle.py
+++ b/bench/oracle.py
@@ -1,7 +1,7 @@
 """Computes the slowdown of an ideal scheduler on the same workload.
 
-The ideal scheduler has one queue for all workers, knows the true time of each
-task, has no message delays and never preempts. A higher class always goes
+The ideal scheduler has one queue for all workers, is given the true time of
+each task, has no message delays and never preempts. A higher class always goes
 first; within a class, the job with the least remaining work.
 """
 
--- a/packages/base/src/clayfield/base/events.py
+++ b/packages/base/src/clayfield/base/events.py
@@ -26,7 +26,7 @@
 
 
 class Event(enum.Enum):
-    """The log events."""
+    """The log events: number, level, text and fields of each."""
 
     STARTED = _Spec(
         1001,
--- a/packages/base/src/clayfield/base/settings.py
+++ b/packages/base/src/clayfield/base/settings.py
@@ -1,8 +1,8 @@
 """Settings from command-line flags and environment variables.
 
-Each setting has a flag such as `--peer-port` and an environment variable such
-as `CLAYFIELD_PEER_PORT`; the flag takes precedence. All errors are reported
-together.
+Each setting has a flag such as `--peer-tls-key` and an environment variable
+such as `CLAYFIELD_PEER_TLS_KEY`; the flag takes precedence. All errors are
+reported together.
 """
 
 import argparse
@@ -35,7 +35,7 @@
 
     @property
     def flag(self) -> str:
-        """Name of the command-line flag, such as `--peer-port`."""
+        """Name of the command-line flag, such as `--peer-tls-key`."""
         return "--" + self.name.replace("_", "-")
 
     @property
--- a/packages/box/src/clayfield/box/core.py
+++ b/packages/box/src/clayfield/box/core.py
@@ -182,7 +182,7 @@
 
     @property
     def cfg(self) -> Configuration:
-        """The active configuration."""
+        """The configuration that this box has activated."""
         return self.follower.current
 
     @property
--- a/packages/box/src/clayfield/box/follower.py
+++ b/packages/box/src/clayfield/box/follower.py
@@ -70,8 +70,8 @@
             deltas = self._deltas[len(self._deltas) - missed :]
             if sum(map(len, deltas)) <= MAX_PUSH_BYTES:
                 return ConfigPush(pull.version, deltas, b"", self.version)
-        whole = encode_config(self.current)
-        return ConfigPush(-1, [], whole, self.version)
+        full_config = encode_config(self.current)
+        return ConfigPush(-1, [], full_config, self.version)
 
     def on_push(self, push: ConfigPush) -> bool:
         """Applies a peer's reply; returns whether the version rose."""
--- a/packages/daemon/src/clayfield/daemon/operators.py
+++ b/packages/daemon/src/clayfield/daemon/operators.py
@@ -31,7 +31,7 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """State of another box, as far as this box can tell.
+    """State of another box, from the information on this box.
 
     Attributes:
         box: name of the box.
@@ -47,7 +47,7 @@
 
 
 class GroupStatus(msgspec.Struct, frozen=True):
-    """State of a replicated group, as far as this box can tell.
+    """State of a replicated group, from the information on this box.
 
     Attributes:
         group: name of the group.
--- a/packages/daemon/src/clayfield/daemon/peers.py
+++ b/packages/daemon/src/clayfield/daemon/peers.py
@@ -55,13 +55,13 @@
         self._link = link
 
     def connectionMade(self) -> None:  # noqa: N802 - twisted's name
-        """Sends the greeting."""
+        """Sends the greeting and reports the open stream to the link."""
         self.transport.setTcpNoDelay(True)
         self.sendString(encode_greeting(self._link.greeting))
         self._link.on_open(self)
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
-        """Handles an acknowledgement."""
+        """Reports an acknowledgement of the peer to the link."""
         self._link.on_ack()
 
     def connectionLost(self, reason: failure.Failure) -> None:  # noqa: N802
@@ -102,7 +102,7 @@
         self._retry_delay_s = MIN_RETRY_DELAY_S
 
     def start(self) -> None:
-        """Starts to connect."""
+        """Starts to connect to the peer, without waiting for the result."""
         factory = protocol.Factory.forProtocol(lambda: _Sender(self))
         connected = self._endpoint.connect(factory)
         connected.addErrback(self._on_connect_failed)
--- a/packages/daemon/src/clayfield/daemon/store.py
+++ b/packages/daemon/src/clayfield/daemon/store.py
@@ -1,6 +1,6 @@
 """Durable storage of a replicated log: checksummed records in a data folder.
 
-The folder holds the file `disk_id`, with the time when the folder was created,
+The folder holds the file `made`, with the time when the folder was created,
 and one file of records, `log-N`. A snapshot starts a new file, so that the
 time to recover does not grow with the number of changes.
 
@@ -46,8 +46,8 @@
 
     Attributes:
         disk_id: identifies the folder: the time of its creation, in ns since
-            the epoch, or the `identity` it was created with. A box whose folder
-            was replaced is recognized by it.
+            the epoch, or the value it was created with. A box whose folder was
+            replaced is recognized by it.
         state: state restored from the records when the folder was opened.
     """
 
@@ -56,7 +56,8 @@
 
         Args:
             folder: path of the folder.
-            disk_id: value of `disk_id` for a new folder, None for the time.
+            disk_id: identity of a new folder; None for its creation time, in
+                ns.
 
         Raises:
             ClayfieldError: of kind STORE_DAMAGED, when the content is invalid;
--- a/packages/daemon/src/clayfield/daemon/worker_list.py
+++ b/packages/daemon/src/clayfield/daemon/worker_list.py
@@ -93,11 +93,11 @@
         self._last_body = b""
 
     def start(self) -> None:
-        """Starts to poll."""
+        """Starts to fetch the worker list periodically."""
         self._loop.start(self._interval_s)
 
     def stop(self) -> None:
-        """Stops polling."""
+        """Ends the periodic fetching of the worker list."""
         if self._loop.running:
             self._loop.stop()
 
--- a/packages/dispatch/src/clayfield/dispatch/request_queue.py
+++ b/packages/dispatch/src/clayfield/dispatch/request_queue.py
@@ -143,7 +143,7 @@
             _, _, queued = heapq.heappop(heap)
             if queued.is_open:
                 return queued
-        # Nothing is queued: forget the arrivals, and clear the rounding error
+        # Nothing is queued: drop the arrivals, and clear the rounding error
         # of the work.
         self._arrivals.pop(rank, None)
         self.work_ms_by_rank[rank] = 0.0
--- a/packages/dispatch/src/clayfield/dispatch/submission.py
+++ b/packages/dispatch/src/clayfield/dispatch/submission.py
@@ -108,7 +108,7 @@
         claimed_ms: time when the claim was granted, in ms.
         granted_ms: time when the first slot was granted, in ms; 0 before.
         longest_task_ms: duration of the longest task so far, in ms.
-        owner_heard_ms: time of the last reply of the owner that it follows,
+        owner_contact_ms: time of the last reply of the owner that it follows,
             in ms.
         unused_grants: (grant, worker) pairs held for tasks not yet started.
         unstarted_tasks: indices of the tasks to start, the next one last.
@@ -140,7 +140,7 @@
         "member",
         "number",
         "outcome",
-        "owner_heard_ms",
+        "owner_contact_ms",
         "phase",
         "priority",
         "refusal",
@@ -190,7 +190,7 @@
         self.has_slot_request = False
         self.arrived_ms = now_ms
         self.claim_sent_ms = now_ms
-        self.owner_heard_ms = now_ms
+        self.owner_contact_ms = now_ms
         self.claimed_ms = now_ms
         self.granted_ms = 0.0
         self.longest_task_ms = 0.0
--- a/packages/dispatch/src/clayfield/dispatch/submission_manager.py
+++ b/packages/dispatch/src/clayfield/dispatch/submission_manager.py
@@ -135,7 +135,7 @@
         return len(self._held)
 
     def set_config(self, cfg: Configuration) -> None:
-        """Activates a configuration."""
+        """Activates a configuration and its limit on retries."""
         self._cfg = cfg
         self._budget.share = cfg.limits.retry_share
 
@@ -331,7 +331,7 @@
         if sub.phase is not Phase.FOLLOWING:
             self._release_unused(sub)
             sub.phase = Phase.FOLLOWING
-            sub.owner_heard_ms = now_ms
+            sub.owner_contact_ms = now_ms
         sub.claim_sent_ms = now_ms
         fetch = AnswerFetch(sub.key, reply.owner_nonce)
         self.actions.append(SendToNode(reply.owner, fetch))
@@ -359,7 +359,7 @@
         if sub is None or sub.phase is not Phase.FOLLOWING:
             return
         if reply.is_pending:
-            sub.owner_heard_ms = self._clock.now_ms()
+            sub.owner_contact_ms = self._clock.now_ms()
         if reply.outcome and is_final(reply.outcome):
             self._finish(sub, reply.outcome)
 
@@ -639,7 +639,7 @@
         self.actions += self._lookups.expire(now_ms)
 
     def _tick_following(self, sub: Submission, now_ms: float) -> None:
-        if now_ms - sub.owner_heard_ms >= FOLLOW_TIMEOUT_MS:
+        if now_ms - sub.owner_contact_ms >= FOLLOW_TIMEOUT_MS:
             detail = "It does not answer now; the claim stays recorded."
             problem = Problem(
                 ErrorKind.OWNER_LOST, detail, Ran.MAYBE, RETRY_AFTER_MS
--- a/packages/node/src/clayfield/node/httpclient.py
+++ b/packages/node/src/clayfield/node/httpclient.py
@@ -90,7 +90,7 @@
         self._finish(CallResult(CallOutcome.LOST))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - twisted
-        """Parses received bytes."""
+        """Parses a part of the response; aborts an invalid connection."""
         if self._parser is None:
             self.transport.abortConnection()
             return
@@ -245,6 +245,6 @@
             self._idle.remove(connection)
 
     def close(self) -> None:
-        """Aborts all connections."""
+        """Aborts all open connections, also those with a pending request."""
         for connection in list(self._open):
             connection.transport.abortConnection()
--- a/packages/node/src/clayfield/node/httpserver.py
+++ b/packages/node/src/clayfield/node/httpserver.py
@@ -170,7 +170,7 @@
                 request.on_disconnected()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Parses received bytes."""
+        """Parses a part of a request; rejects an invalid one."""
         if self._is_closing:
             return
         self._last_activity_s = self._server.reactor.seconds()
@@ -191,7 +191,7 @@
             self.close()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection after the data already written is sent."""
         self._is_closing = True
         self.transport.loseConnection()
 
@@ -211,7 +211,7 @@
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Handles a header."""
+        """Stores a header of the request by its name in lower case."""
         self._count_head(len(name) + len(value))
         lower_name = name.decode("latin-1").lower()
         self._headers[lower_name] = value.decode("latin-1")
@@ -348,7 +348,7 @@
                 connection.close()
 
     def stop(self) -> None:
-        """Stops listening."""
+        """Stops accepting connections; the open ones stay open."""
         if self._port:
             self._port.stopListening()
             self._port = None
--- a/packages/node/src/clayfield/node/native/workers.py
+++ b/packages/node/src/clayfield/node/native/workers.py
@@ -1,7 +1,7 @@
 """The native HTTP protocol to workers and to the advisor.
 
-Workers serve `/v1/runs/start`, `stop`, `throttle` (throttle a run) and `poll`
-(the poll that renews the worker's lease). The advisor serves `/v1/advice`.
+Workers serve `/v1/runs/start`, `stop`, `pace` (throttles a run) and `hold` (the
+poll that renews the worker's lease). The advisor serves `/v1/advice`.
 """
 
 import msgspec
--- a/packages/node/src/clayfield/node/workers.py
+++ b/packages/node/src/clayfield/node/workers.py
@@ -169,7 +169,7 @@
                 self._pools.pop(address).close()
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Aborts the open connections to all addresses."""
         for pool in self._pools.values():
             pool.close()
 
--- a/packages/pool/src/clayfield/pool/entry_node.py
+++ b/packages/pool/src/clayfield/pool/entry_node.py
@@ -137,8 +137,8 @@
 
         Counts the kept jobs of all entry nodes and the other jobs of this one.
         """
-        kept = self._kept_counts.get(queue, 0)
-        return kept + self.callers.pending_count(queue)
+        kept_count = self._kept_counts.get(queue, 0)
+        return kept_count + self.callers.pending_count(queue)
 
     # Callers.
 
@@ -218,8 +218,8 @@
                 self.callers.on_cancel_reply(message)
             case JobStateReply():
                 self.callers.on_state_reply(message)
-            case QueueCounts(waiting=waiting):
-                self._kept_counts = waiting
+            case QueueCounts(waiting=counts):
+                self._kept_counts = counts
                 self._has_kept_jobs = True
             case (
                 JobStateRequest() | HolderLease() | JobsLoaded() | JobsWritten()
@@ -390,10 +390,10 @@
 
         Only the holder does so, and only while kept jobs are in use.
         """
-        kept = self.dispatcher.kept_jobs if self.dispatcher else None
-        if kept is None or not kept.has_recent_jobs:
+        kept_jobs = self.dispatcher.kept_jobs if self.dispatcher else None
+        if kept_jobs is None or not kept_jobs.has_recent_jobs:
             return
-        self._kept_counts = kept.waiting_counts()
+        self._kept_counts = kept_jobs.waiting_counts()
         self._has_kept_jobs = True
         self._broadcast(ENTRY_ROLE, QueueCounts(self._kept_counts))
 
@@ -463,14 +463,16 @@
                 self._actions.append(action)
 
 
-def _route_to_kept_jobs(kept: KeptJobs, node: str, message: Message) -> None:
+def _route_to_kept_jobs(
+    kept_jobs: KeptJobs, node: str, message: Message
+) -> None:
     """Passes a message about kept jobs to its handler."""
     match message:
         case JobStateRequest():
-            kept.on_state_request(node, message)
+            kept_jobs.on_state_request(node, message)
         case HolderLease():
-            kept.on_lease(node, message)
+            kept_jobs.on_lease(node, message)
         case JobsLoaded():
-            kept.on_loaded(node, message)
+            kept_jobs.on_loaded(node, message)
         case JobsWritten():
-            kept.on_written(message)
+            kept_jobs.on_written(message)
--- a/packages/pool/src/clayfield/pool/estimates.py
+++ b/packages/pool/src/clayfield/pool/estimates.py
@@ -34,7 +34,7 @@
         self._covariance = PRIOR_VARIANCE
 
     def add(self, x: float, y: float) -> None:
-        """Adds a sample."""
+        """Adds a sample to the weighted means, variance and covariance."""
         self._count += 1.0
         weight = max(MIN_WEIGHT, 1.0 / (self._count + PRIOR_COUNT))
         diff_x = x - self._mean_x
--- a/packages/pool/src/clayfield/pool/fleet.py
+++ b/packages/pool/src/clayfield/pool/fleet.py
@@ -239,7 +239,7 @@
         self.poll_if_due(worker)
 
     def stop(self, run: Run) -> None:
-        """Stops a run."""
+        """Sends a stop request for a run to its worker."""
         worker = self.workers.get(run.worker)
         if worker is None:
             return
--- a/packages/pool/src/clayfield/pool/tasks.py
+++ b/packages/pool/src/clayfield/pool/tasks.py
@@ -413,8 +413,8 @@
             for task in self.tasks[job.stage_of(number, iteration)]
             if task.state is TaskState.WAITING
         ]
-        is_whole = len(waiting) == step.count
-        return waiting if is_whole or not step.is_gang else []
+        is_complete = len(waiting) == step.count
+        return waiting if is_complete or not step.is_gang else []
 
     # Ends of runs and gangs.
 
--- a/packages/testbed/src/clayfield/testbed/box.py
+++ b/packages/testbed/src/clayfield/testbed/box.py
@@ -172,7 +172,7 @@
     def _call_if_running(
         self, incarnation: int, callback: Callable[[BoxCore], None]
     ) -> None:
-        """Calls `call` if the given incarnation still runs."""
+        """Calls a function if the given incarnation still runs."""
         if self.core is not None and incarnation == self.incarnation:
             self.call(callback)
 
--- a/packages/testbed/src/clayfield/testbed/chaos.py
+++ b/packages/testbed/src/clayfield/testbed/chaos.py
@@ -346,7 +346,7 @@
         return True
 
     def heal(self) -> bool:
-        """Ends all partitions."""
+        """Ends all partitions of the network."""
         self.site.network.heal()
         return True
 
--- a/packages/testbed/src/clayfield/testbed/drills.py
+++ b/packages/testbed/src/clayfield/testbed/drills.py
@@ -445,8 +445,8 @@
         drill.run_until(lambda core=core: core.is_ready, 30.0, submit)
     drill.site.run(LONG_MS)
     for key in drill.answers:
-        is_whole = drill.statuses(key) == [200]
-        drill.site.checker.on_planned_stop_answer(key, is_whole)
+        is_complete = drill.statuses(key) == [200]
+        drill.site.checker.on_planned_stop_answer(key, is_complete)
 
 
 DRILLS: dict[str, Callable[[int], None]] = {
--- a/packages/testbed/src/clayfield/testbed/invariants.py
+++ b/packages/testbed/src/clayfield/testbed/invariants.py
@@ -136,9 +136,9 @@
             f"{worker}: {seen_for_ms} ms",
         )
 
-    def on_planned_stop_answer(self, key: str, is_whole: bool) -> None:
+    def on_planned_stop_answer(self, key: str, is_complete: bool) -> None:
         """Records whether a request in flight at a planned stop succeeded."""
-        self._check(PLANNED_STOP, is_whole, key)
+        self._check(PLANNED_STOP, is_complete, key)
 
     def on_in_force(self, node: str, version: int, digest: bytes) -> None:
         """Records that a node activates a configuration version."""
--- a/packages/testbed/src/clayfield/testbed/load.py
+++ b/packages/testbed/src/clayfield/testbed/load.py
@@ -31,7 +31,7 @@
         self.transport.write(request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Parses received data."""
+        """Parses a part of the response."""
         self._parser.feed_data(data)
 
     def on_body(self, body: bytes) -> None:
--- a/packages/testbed/src/clayfield/testbed/network.py
+++ b/packages/testbed/src/clayfield/testbed/network.py
@@ -58,7 +58,7 @@
                 self._partitioned_links.add((other, name))
 
     def heal(self) -> None:
-        """Ends all partitions."""
+        """Ends all partitions, so that every link carries traffic again."""
         self._partitioned_links.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
--- a/packages/testbed/src/clayfield/testbed/pool_site.py
+++ b/packages/testbed/src/clayfield/testbed/pool_site.py
@@ -129,8 +129,8 @@
         self.cancelled_ms: dict[str, float] = {}
         self._partitioned: set[str] = set()
         self._isolated: set[str] = set()
-        self._keys_by_waiter: dict[int, str] = {}
-        self._waiter_count = 0
+        self._keys_by_request: dict[int, str] = {}
+        self._request_count = 0
         self._epoch = 0
         self._grant = Grant(0, "")
         self._dead: set[str] = set()
@@ -219,7 +219,7 @@
             schedule: times at which the steps run, None for once and at once.
             is_advised: whether its tasks need a ticket of the advisor.
         """
-        waiter = self._add_waiter(key)
+        request_id = self._add_request(key)
         chain = tuple(
             msgspec.structs.replace(
                 template, count=count, after=(number - 1,) if number else ()
@@ -248,23 +248,23 @@
             self.advised_jobs.add(key)
         if template.is_batch:
             self.batch_jobs.add(key)
-        self.entries[node].submit(job, waiter)
+        self.entries[node].submit(job, request_id)
         self._run_actions(node)
 
-    def _add_waiter(self, key: str) -> int:
+    def _add_request(self, key: str) -> int:
         """Returns the number of a new pending caller request."""
-        self._waiter_count += 1
-        self._keys_by_waiter[self._waiter_count] = key
-        return self._waiter_count
+        self._request_count += 1
+        self._keys_by_request[self._request_count] = key
+        return self._request_count
 
     def request_state(self, node: str, key: str) -> None:
         """Requests a kept job's state; the reply goes to `reported_states`."""
-        self.entries[node].callers.request_state(key, self._add_waiter(key))
+        self.entries[node].callers.request_state(key, self._add_request(key))
         self._run_actions(node)
 
     def cancel(self, node: str, key: str) -> None:
         """Requests a job's cancel; a confirmation goes to `cancelled_ms`."""
-        self.entries[node].callers.cancel(key, self._add_waiter(key))
+        self.entries[node].callers.cancel(key, self._add_request(key))
         self._run_actions(node)
 
     def partition(self, hall: str) -> None:
@@ -411,17 +411,17 @@
                         worker.throttle(action)
                 case RequestAdvice():
                     self._request_advice(entry, action)
-                case ReplyToCaller(request_id=waiter, ended=ended):
-                    self._record_end(waiter, ended)
-                case ReplyToCancel(request_id=waiter, is_found=is_known):
-                    if is_known:
-                        key = self._keys_by_waiter[waiter]
+                case ReplyToCaller(request_id=request_id, ended=ended):
+                    self._record_end(request_id, ended)
+                case ReplyToCancel(request_id=request_id, is_found=is_found):
+                    if is_found:
+                        key = self._keys_by_request[request_id]
                         self.cancelled_ms.setdefault(key, self.clock.now_ms())
-                case ReplyToStateRequest(request_id=waiter, reply=reply):
-                    self._record_state(self._keys_by_waiter[waiter], reply)
+                case ReplyToStateRequest(request_id=request_id, reply=reply):
+                    self._record_state(self._keys_by_request[request_id], reply)
 
-    def _record_end(self, waiter: int, ended: JobEnded) -> None:
-        self.outcomes[self._keys_by_waiter[waiter]] = (
+    def _record_end(self, request_id: int, ended: JobEnded) -> None:
+        self.outcomes[self._keys_by_request[request_id]] = (
             self.clock.now_ms(),
             ended,
         )
--- a/packages/testbed/src/clayfield/testbed/processes.py
+++ b/packages/testbed/src/clayfield/testbed/processes.py
@@ -36,12 +36,12 @@
         return response.read()
 
 
-def wait_for(is_met: object, what: str) -> None:
+def wait_for(is_met: object, description: str) -> None:
     """Waits until a condition is met.
 
     Args:
         is_met: a function that returns whether the condition is met.
-        what: the text of the timeout error.
+        description: the text of the timeout error.
 
     Raises:
         TimeoutError: the condition is not met within `START_TIMEOUT_S`.
@@ -49,7 +49,7 @@
     end_s = time.monotonic() + START_TIMEOUT_S
     while not is_met():
         if time.monotonic() > end_s:
-            raise TimeoutError(what)
+            raise TimeoutError(description)
         time.sleep(0.05)
 
 
@@ -86,11 +86,11 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """Process id given by the operating system."""
         return self._process.pid
 
     def stop(self) -> None:
-        """Ends the process."""
+        """Terminates the process and waits until it has ended."""
         self._process.terminate()
         self._process.wait(STOP_TIMEOUT_S)
         self._process.stdout.close()
@@ -156,7 +156,7 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """Process id given by the operating system."""
         return self._process.pid
 
     @property
--- a/packages/testbed/src/clayfield/testbed/site.py
+++ b/packages/testbed/src/clayfield/testbed/site.py
@@ -219,7 +219,7 @@
         self.events.call_later(LIST_INTERVAL_MS, self._publish_list)
 
     def _record_leaving(self, listed: list[WorkerInfo]) -> None:
-        """Records when the boxes first saw each worker as leaving."""
+        """Records when the worker list first showed each worker as leaving."""
         for info in listed:
             worker = self.workers[info.name]
             if not info.is_leaving:
--- a/packages/wire/src/clayfield/wire/jobs.py
+++ b/packages/wire/src/clayfield/wire/jobs.py
@@ -136,7 +136,7 @@
 
     @property
     def iteration_count(self) -> int:
-        """Number of iterations."""
+        """Number of times that the steps run, 1 without a schedule."""
         return self.schedule.repeats if self.schedule else 1
 
     @property
--- a/tests/test_node_processes.py
+++ b/tests/test_node_processes.py
@@ -37,7 +37,7 @@
 
 
 class Node:
-    """A clayfield-node process."""
+    """A clayfield-node process, entry or control, on loopback ports."""
 
     def __init__(self, role, name, seeds, folder, first="yes", peers=None):
         self.role = role
