--- a/packages/node/src/clayfield/node/entry_process.py
+++ b/packages/node/src/clayfield/node/entry_process.py
@@ -37,7 +37,7 @@
     ReplyToCancel,
     ReplyToStateRequest,
     RequestAdvice,
-    SendToEntry,
+    SendToNode,
     StartRun,
     StopRun,
     ThrottleRun,
@@ -338,7 +338,7 @@
         """Runs the actions that the entry node's logic has queued."""
         for action in self._entry.take_actions():
             match action:
-                case SendToEntry(node=node, message=message):
+                case SendToNode(node=node, message=message):
                     self._streams.send(node, message)
                 case StartRun():
                     self._commands.start(action)
--- a/packages/node/src/clayfield/node/native/operators.py
+++ b/packages/node/src/clayfield/node/native/operators.py
@@ -64,7 +64,7 @@
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-class _Statement(msgspec.Struct, forbid_unknown_fields=True):
+class _Heartbeat(msgspec.Struct, forbid_unknown_fields=True):
     service: str
     address: str
     hall: str
@@ -85,7 +85,7 @@
 
 
 _routing_decoder = msgspec.json.Decoder(_Routing)
-_statement_decoder = msgspec.json.Decoder(_Statement)
+_heartbeat_decoder = msgspec.json.Decoder(_Heartbeat)
 
 
 class NativeOperators(OperatorProtocol):
@@ -165,7 +165,7 @@
         raise ClayfieldError(
             ErrorKind.NOT_FOUND, f"{request.method} is not served."
         )
-    heartbeat = _decode(request.body, _statement_decoder)
+    heartbeat = _decode(request.body, _heartbeat_decoder)
     return HeartbeatCall(
         WorkerInfo(
             name,
--- a/packages/node/src/clayfield/node/native/workers.py
+++ b/packages/node/src/clayfield/node/native/workers.py
@@ -153,7 +153,7 @@
     ended: list[EndedItem] = []
 
 
-class QuestionBody(msgspec.Struct):
+class AdviceRequestBody(msgspec.Struct):
     """Request body to the advisor: which workers may run a step."""
 
     job: str
@@ -228,7 +228,7 @@
         self, command: RequestAdvice, address: str
     ) -> bytes:
         """Returns the request to the advisor for tickets."""
-        body = QuestionBody(
+        body = AdviceRequestBody(
             command.job, command.iteration, command.step, command.worker_names
         )
         return _render_request(ADVICE_PATH, address, body)
--- a/packages/node/src/clayfield/node/settings.py
+++ b/packages/node/src/clayfield/node/settings.py
@@ -75,6 +75,6 @@
         self.log_level = "info"
 
 
-def format_address(place: Address) -> str:
+def format_address(address: Address) -> str:
     """Returns an address as `IP:PORT`."""
-    return f"{place[0]}:{place[1]}"
+    return f"{address[0]}:{address[1]}"
--- a/packages/pool/src/clayfield/pool/__init__.py
+++ b/packages/pool/src/clayfield/pool/__init__.py
@@ -21,7 +21,7 @@
     PollWorker,
     RequestAdvice,
     RunningRun,
-    SendToEntry,
+    SendToNode,
     StartRun,
     StopRun,
     ThrottleRun,
@@ -53,5 +53,5 @@
     "StartRun",
     "StopRun",
     "TaskId",
-    "SendToEntry",
+    "SendToNode",
 ]
--- a/packages/pool/src/clayfield/pool/admission.py
+++ b/packages/pool/src/clayfield/pool/admission.py
@@ -108,7 +108,7 @@
         needed_ms = self.critical_path_ms(job) * LATE_SHARE
         return open_job.arrived_ms + self.objective_ms(job) - needed_ms
 
-    def slot_free_times(
+    def make_forecast(
         self,
         workers: Iterable[Worker],
         size: float,
--- a/packages/pool/src/clayfield/pool/commands.py
+++ b/packages/pool/src/clayfield/pool/commands.py
@@ -376,7 +376,7 @@
         self.valid_ms = valid_ms
 
 
-class SendToEntry:
+class SendToNode:
     """Sends a message to a node.
 
     Attributes:
@@ -392,5 +392,5 @@
 
 
 PoolAction = (
-    StartRun | StopRun | ThrottleRun | PollWorker | RequestAdvice | SendToEntry
+    StartRun | StopRun | ThrottleRun | PollWorker | RequestAdvice | SendToNode
 )
--- a/packages/pool/src/clayfield/pool/dispatcher.py
+++ b/packages/pool/src/clayfield/pool/dispatcher.py
@@ -16,7 +16,7 @@
     EndedRun,
     EndKind,
     PoolAction,
-    SendToEntry,
+    SendToNode,
 )
 from clayfield.pool.fleet import Fleet, FleetListener, RunOutcome
 from clayfield.pool.intake import MIN_RETRY_MS, Intake
@@ -121,7 +121,7 @@
         return actions
 
     def _send(self, entry: str, message: Message) -> None:
-        self.fleet.actions.append(SendToEntry(entry, message))
+        self.fleet.actions.append(SendToNode(entry, message))
 
     # Events.
 
--- a/packages/pool/src/clayfield/pool/entry_node.py
+++ b/packages/pool/src/clayfield/pool/entry_node.py
@@ -10,7 +10,7 @@
 from clayfield.base import Clock
 from clayfield.pool.actions import ConnectNode, EntryAction
 from clayfield.pool.callers import HolderLink, PendingCallers
-from clayfield.pool.commands import Advice, CommandReply, PollReply, SendToEntry
+from clayfield.pool.commands import Advice, CommandReply, PollReply, SendToNode
 from clayfield.pool.dispatcher import Dispatcher
 from clayfield.pool.job_store_client import JobStoreClient
 from clayfield.pool.kept import KeptJobs
@@ -166,7 +166,7 @@
         if holder == self.node:
             self.on_message(self.node, message)
         elif holder:
-            self._actions.append(SendToEntry(holder, message))
+            self._actions.append(SendToNode(holder, message))
 
     def send_workers(self) -> None:
         """Sends all workers known here to the holder, once for each grant.
@@ -180,7 +180,7 @@
             return
         self._workers_sent_to = recipient
         infos = tuple(self._workers.values())
-        self._actions.append(SendToEntry(self.holder, WorkersPush(infos)))
+        self._actions.append(SendToNode(self.holder, WorkersPush(infos)))
 
     # Nodes.
 
@@ -401,7 +401,7 @@
         """Sends a message to all connected nodes of a role."""
         for greeting in self._open_nodes.values():
             if greeting.role == role:
-                self._actions.append(SendToEntry(greeting.node, message))
+                self._actions.append(SendToNode(greeting.node, message))
 
     def begin_stop(self) -> None:
         """Starts a planned shutdown.
@@ -457,7 +457,7 @@
         Messages to this node are handled directly.
         """
         for action in dispatcher.take_actions():
-            if isinstance(action, SendToEntry) and action.node == self.node:
+            if isinstance(action, SendToNode) and action.node == self.node:
                 self.on_message(self.node, action.message)
             else:
                 self._actions.append(action)
--- a/packages/pool/src/clayfield/pool/intake.py
+++ b/packages/pool/src/clayfield/pool/intake.py
@@ -119,7 +119,7 @@
 
     def _forecast(self, now_ms: float) -> Forecast:
         """Returns a forecast without any waiting tasks."""
-        return self._admission.slot_free_times(
+        return self._admission.make_forecast(
             self._fleet.workers.values(), self._jobs.mean_cpu, now_ms
         )
 
--- a/packages/pool/src/clayfield/pool/job_store_client.py
+++ b/packages/pool/src/clayfield/pool/job_store_client.py
@@ -11,7 +11,7 @@
 """
 
 from clayfield.base import Clock
-from clayfield.pool.commands import SendToEntry
+from clayfield.pool.commands import SendToNode
 from clayfield.wire.job_store import (
     AcceptJob,
     HolderLease,
@@ -73,7 +73,7 @@
         self._clock = clock
         self.epoch = epoch
         self.is_loaded = False
-        self.actions: list[SendToEntry] = []
+        self.actions: list[SendToNode] = []
         self._leader = ""
         self.confirmed_ms = -AUTHORITY_MS
         self._load_sent_ms = -RESEND_MS
@@ -201,7 +201,7 @@
         batch.sent_ms = now_ms
         changes = tuple(pending.change for pending in batch.changes)
         write = WriteJobs(self.epoch, batch.sequence, changes)
-        self.actions.append(SendToEntry(self._leader, write))
+        self.actions.append(SendToNode(self._leader, write))
 
     def _send_load(self) -> None:
         """Requests the stored jobs, unless they are loaded or requested."""
@@ -212,7 +212,7 @@
         self._load_request += 1
         self._loaded_parts = []
         load = LoadJobs(self.epoch, self._load_request)
-        self.actions.append(SendToEntry(self._leader, load))
+        self.actions.append(SendToNode(self._leader, load))
 
 
 def _key_of(change: JobChange) -> str:
--- a/packages/pool/src/clayfield/pool/kept.py
+++ b/packages/pool/src/clayfield/pool/kept.py
@@ -15,7 +15,7 @@
 from clayfield.base import Clock
 from clayfield.base.events import Event, emit
 from clayfield.pool.admission import Admission
-from clayfield.pool.commands import EndedRun, EndKind, SendToEntry
+from clayfield.pool.commands import EndedRun, EndKind, SendToNode
 from clayfield.pool.fleet import Fleet, RunOutcome
 from clayfield.pool.job_store_client import (
     AUTHORITY_MS,
@@ -285,7 +285,7 @@
         return counts
 
     def _send(self, entry: str, message: Message) -> None:
-        self.store.actions.append(SendToEntry(entry, message))
+        self.store.actions.append(SendToNode(entry, message))
 
     # Ends of runs.
 
--- a/packages/testbed/src/clayfield/testbed/fake_advisor.py
+++ b/packages/testbed/src/clayfield/testbed/fake_advisor.py
@@ -46,7 +46,7 @@
         self._decisions: dict[tuple[str, int, int, str], bool] = {}
         self._expiry_ms: dict[str, float] = {}
 
-    def ask(self, request: RequestAdvice, reply: Reply) -> None:
+    def request_tickets(self, request: RequestAdvice, reply: Reply) -> None:
         """Queues a request; `reply` is called with its tickets."""
         if self.is_busy:
             reply(Advice(False))
--- a/packages/testbed/src/clayfield/testbed/pool_site.py
+++ b/packages/testbed/src/clayfield/testbed/pool_site.py
@@ -25,7 +25,7 @@
     ReplyToCancel,
     ReplyToStateRequest,
     RequestAdvice,
-    SendToEntry,
+    SendToNode,
     StartRun,
     StopRun,
     TaskId,
@@ -397,7 +397,7 @@
         entry = self.entries[node]
         for action in entry.take_actions():
             match action:
-                case SendToEntry(node=to, message=message):
+                case SendToNode(node=to, message=message):
                     self._send(entry, to, message)
                 case StartRun():
                     self._start_run(entry, action)
@@ -475,7 +475,9 @@
                 entry, lambda: entry.on_advice(request.request_id, advice)
             )
 
-        self.call_later(DELAY_MS, lambda: self.advisor.ask(request, reply))
+        self.call_later(
+            DELAY_MS, lambda: self.advisor.request_tickets(request, reply)
+        )
 
     def _start_run(self, entry: EntryNode, command: StartRun) -> None:
         worker = self._find_reachable(entry, command.worker)
